--- a/crates/limits/src/route.rs
+++ b/crates/limits/src/route.rs
@@ -33,17 +33,17 @@
     pub client_retry: bool,
 }
 
-/// How two matches lie to each other.
+/// How the sets of requests that two matches accept relate to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lie {
+pub enum Overlap {
     /// No request fits both.
-    Apart,
+    Disjoint,
     /// All that fit the second fit the first.
     Covers,
     /// All that fit the first fit the second, and some more.
     Within,
     /// Some requests fit both, and each has some of its own.
-    Cross,
+    Partial,
 }
 
 fn begins(path: &str, prefix: &str) -> bool {
@@ -68,8 +68,8 @@
             && self.host.as_deref().is_none_or(|host| host.eq_ignore_ascii_case(without_port(asked.host)))
     }
 
-    /// How this one lies to another, field by field.
-    pub fn lies(&self, other: &Match) -> Lie {
+    /// How the requests that this match accepts relate to those of another, compared field by field.
+    pub fn overlap_with(&self, other: &Match) -> Overlap {
         /// What is open is wider than anything named; `None`: no request fits both.
         fn field<T>(a: &Option<T>, b: &Option<T>, wider: impl Fn(&T, &T) -> bool) -> Option<Ordering> {
             match (a, b) {
@@ -93,10 +93,10 @@
         ];
         let none = |order| !fields.contains(&Some(order));
         match (fields.contains(&None), none(Ordering::Less), none(Ordering::Greater)) {
-            (true, ..) => Lie::Apart,
-            (_, true, _) => Lie::Covers,
-            (_, _, true) => Lie::Within,
-            _ => Lie::Cross,
+            (true, ..) => Overlap::Disjoint,
+            (_, true, _) => Overlap::Covers,
+            (_, _, true) => Overlap::Within,
+            _ => Overlap::Partial,
         }
     }
 }
@@ -133,13 +133,13 @@
 
     /// Pairs of routes, the earlier first, of which the later can never be taken, or whose order alone decides
     /// over requests that fit both.
-    pub fn conflicts(&self) -> Vec<(usize, usize, Lie)> {
+    pub fn conflicts(&self) -> Vec<(usize, usize, Overlap)> {
         let mut found = Vec::new();
         for later in 0..self.matches.len() {
             for earlier in 0..later {
-                let lie = self.matches[earlier].lies(&self.matches[later]);
-                if matches!(lie, Lie::Covers | Lie::Cross) {
-                    found.push((earlier, later, lie));
+                let overlap = self.matches[earlier].overlap_with(&self.matches[later]);
+                if matches!(overlap, Overlap::Covers | Overlap::Partial) {
+                    found.push((earlier, later, overlap));
                 }
             }
         }
--- a/crates/limits/src/rules.rs
+++ b/crates/limits/src/rules.rs
@@ -2,7 +2,7 @@
 
 use crate::budget::Terms;
 use crate::hedge::When;
-use crate::route::{Lie, Match, Table};
+use crate::route::{Match, Overlap, Table};
 use std::fmt;
 
 /// Longest window of a budget (ms): a longer one would remember what is over.
@@ -116,10 +116,13 @@
         }
         faults_of(route, platform, &mut all);
     }
-    for (earlier, later, lie) in Table::new(routes.iter().map(|r| r.wants.clone()).collect()).conflicts() {
+    for (earlier, later, overlap) in Table::new(routes.iter().map(|r| r.wants.clone()).collect()).conflicts()
+    {
         let (first, second) = (&routes[earlier].name, &routes[later]);
-        let why = match lie {
-            Lie::Covers => format!("it can never be taken: all that fits it is taken by {first} before it"),
+        let why = match overlap {
+            Overlap::Covers => {
+                format!("it can never be taken: all that fits it is taken by {first} before it")
+            }
             _ => format!("some requests fit it and {first} too; put a route for just those in front of both"),
         };
         all.push(Fault { route: second.name.clone(), key: "match", why });
--- a/crates/limits/tests/route.rs
+++ b/crates/limits/tests/route.rs
@@ -1,7 +1,7 @@
 //! Which route a request takes, and how two routes relate.
 
 use proptest::prelude::*;
-use roseproxy_limits::route::{Asked, Lie, Match, Table};
+use roseproxy_limits::route::{Asked, Match, Overlap, Table};
 
 fn of(class: &str, prefix: &str, tenant: &str) -> Match {
     let some = |t: &str| (!t.is_empty()).then(|| t.to_owned());
@@ -37,7 +37,12 @@
     ]);
     assert_eq!(
         table.conflicts(),
-        [(0, 1, Lie::Covers), (0, 2, Lie::Cross), (1, 2, Lie::Cross), (2, 3, Lie::Cross)],
+        [
+            (0, 1, Overlap::Covers),
+            (0, 2, Overlap::Partial),
+            (1, 2, Overlap::Partial),
+            (2, 3, Overlap::Partial)
+        ],
         "the second is never reached; quotes and orders of the east fit two"
     );
     assert!(Table::new(vec![of("quote", "/a", ""), of("quote", "", ""), of("", "", "")])
@@ -85,15 +90,15 @@
 
     /// What is said of two matches holds for every request there can be.
     #[test]
-    fn lies_are_true_of_all_requests(a in any_match(), b in any_match()) {
+    fn overlaps_are_true_of_all_requests(a in any_match(), b in any_match()) {
         let both = all_requests().iter().any(|r| a.fits(r) && b.fits(r));
         let only_b = all_requests().iter().any(|r| !a.fits(r) && b.fits(r));
         let only_a = all_requests().iter().any(|r| a.fits(r) && !b.fits(r));
-        match a.lies(&b) {
-            Lie::Apart => prop_assert!(!both),
-            Lie::Covers => prop_assert!(!only_b),
-            Lie::Within => prop_assert!(!only_a && only_b),
-            Lie::Cross => prop_assert!(both && only_a && only_b),
+        match a.overlap_with(&b) {
+            Overlap::Disjoint => prop_assert!(!both),
+            Overlap::Covers => prop_assert!(!only_b),
+            Overlap::Within => prop_assert!(!only_a && only_b),
+            Overlap::Partial => prop_assert!(both && only_a && only_b),
         }
     }
 
--- a/crates/roseproxy/src/lib.rs
+++ b/crates/roseproxy/src/lib.rs
@@ -7,6 +7,7 @@
 pub mod config;
 pub mod counters;
 pub mod reload;
+pub mod shutdown;
 pub mod signals;
 pub mod start;
 
