--- a/crates/transport/src/discovery.rs
+++ b/crates/transport/src/discovery.rs
@@ -42,7 +42,9 @@
         address: watch::Receiver<SocketAddr>,
         known: Option<u64>,
     ) -> Watcher<N> {
-        Watcher { gateway, address, revision: known, last: known.unwrap_or(0) }
+        let last = known.unwrap_or(0);
+        gateway.set_revision(last);
+        Watcher { gateway, address, revision: known, last }
     }
 
     /// Watches whenever routing wants it, and tells it of failures; routing's timers, which the
@@ -137,6 +139,7 @@
                     self.gateway.keep_leaving(&mut targets);
                 }
                 (self.revision, self.last) = (Some(revision), revision);
+                self.gateway.set_revision(revision);
                 self.gateway.targets(update, &targets);
             }
             Err(reason) => {
--- a/crates/transport/src/gateway.rs
+++ b/crates/transport/src/gateway.rs
@@ -89,6 +89,8 @@
     /// Whether routing wants discovery watched and no watch has begun since, and who waits to hear it.
     watch_wish: Cell<bool>,
     watch: Notify,
+    /// Revision of the list in hand; 0 before any.
+    revision: Cell<u64>,
 }
 
 impl<N: Network> Gateway<N> {
@@ -112,6 +114,7 @@
             rearm: Notify::new(),
             watch_wish: Cell::new(false),
             watch: Notify::new(),
+            revision: Cell::new(0),
         })
     }
 
@@ -170,6 +173,11 @@
         self.settle();
     }
 
+    /// Records the revision of the list in hand, for the counters.
+    pub(super) fn set_revision(&self, revision: u64) {
+        self.revision.set(revision);
+    }
+
     /// In a list that may be older than the one in hand: who leaves is not taken back into service by it.
     pub(super) fn keep_leaving(&self, targets: &mut [Target]) {
         self.host.borrow().keep_leaving(targets);
@@ -225,6 +233,7 @@
             ("targets_unreachable", t.unreachable.get()),
             ("reports_unread", t.bad_reports.get()),
             ("lists_unread", t.bad_lists.get()),
+            ("discovery_revision", self.revision.get()),
             ("targets_idle", self.pool.borrow().len() as u64),
             ("targets_open", self.targets.used() as u64),
         ];
