--- a/crates/decision/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -207,6 +207,8 @@
     Changes,
     /// A call failed or the subscription broke; the list in hand stays.
     Failed,
+    /// The subscription fell silent and the host calls anew at once; the list in hand stays.
+    Reopened,
 }
 
 /// What a server said about its load, late and a little noisy.
--- a/crates/decision/src/policy.rs
+++ b/crates/decision/src/policy.rs
@@ -6,14 +6,14 @@
 
 use crate::interface::*;
 use crate::learn::NEWS;
-use crate::state::{Attempt, Backend, Held, Subscription, RATE, SUSPECT};
+use crate::state::{Attempt, Backend, Held, RATE, SUSPECT};
 pub use crate::state::{Balancer, Vessel};
 use rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro128PlusPlus;
+use roseproxy_fleet::aside;
 use roseproxy_fleet::draw::pick as find;
 use roseproxy_fleet::homes::{Fleet, Place};
 use roseproxy_fleet::usual::usual_load;
-use roseproxy_fleet::{aside, calls};
 
 /// Points that probing may cost, where only probes bring reports and where every answer brings one, which a
 /// probe tells no sooner; with the price of a probe it says how many a request affords.
@@ -160,7 +160,7 @@
         }
         self.table_at = None;
         self.follow(update);
-        if update != Update::Failed {
+        if matches!(update, Update::Complete | Update::Changes) {
             let homeless = self.requests.iter().filter(|(_, h)| h.attempts.is_empty() && h.awaited == 0);
             let mut held: Vec<_> = homeless.map(|(r, _)| *r).collect();
             held.sort_unstable(); // nothing may depend on the order of a hash table
@@ -184,20 +184,17 @@
         slot
     }
 
-    /// Keeps the subscription: asks soon after the start and, after failures, ever later; all jittered.
+    /// Keeps the subscription: plans the next call to discovery where none is planned or out.
     fn follow(&mut self, update: Update) {
-        let news = update != Update::Failed;
-        if news && self.subscription == Subscription::Asked {
-            (self.subscription, self.failed_calls) = (Subscription::On, 0);
-        }
-        let waits = self.failed_calls > 0 || self.subscription == Subscription::On;
-        if !self.settings.must_subscribe || (news && waits) {
+        if !self.settings.must_subscribe {
             return;
         }
-        let window = calls::window(self.failed_calls, self.settings.balancers, self.settings.ask_within);
-        (self.subscription, self.failed_calls) = (Subscription::Off, self.failed_calls.saturating_add(1));
-        let after = (window * self.uniform()) as Micros;
-        self.out.push(Action::Timer { token: LIST, after });
+        let wait = match update {
+            Update::Complete | Update::Changes => self.calls.received(&mut self.rng),
+            Update::Failed => self.calls.failed(self.now, &mut self.rng),
+            Update::Reopened => return self.calls.reopened(self.now),
+        };
+        self.out.extend(wait.map(|after| Action::Timer { token: LIST, after }));
     }
 
     // ---- what is known of a server
@@ -460,7 +457,7 @@
 
     fn on_timer(&mut self, request: RequestId, what: u64) {
         if what == LIST {
-            self.subscription = Subscription::Asked;
+            self.calls.started(self.now);
             return self.out.push(Action::Subscribe);
         }
         let Some(held) = self.requests.get(&request) else { return };
--- a/crates/decision/src/state.rs
+++ b/crates/decision/src/state.rs
@@ -4,6 +4,7 @@
     Action, ClassId, Micros, Outcome, Prices, Readiness, RequestId, Server, ServerId, Settings,
 };
 use rand_xoshiro::Xoshiro128PlusPlus;
+use roseproxy_fleet::calls::CallSchedule;
 use roseproxy_fleet::draw;
 use roseproxy_fleet::homes::Homes;
 use roseproxy_fleet::tenants::Tenants;
@@ -138,14 +139,6 @@
     }
 }
 
-/// Whether the instance is told of changes to the list.
-#[derive(Debug, PartialEq)]
-pub(crate) enum Subscription {
-    Off,
-    Asked,
-    On,
-}
-
 /// The decisions of one client process. Its methods stand in `policy.rs`.
 #[derive(Debug)]
 pub struct Balancer {
@@ -185,8 +178,8 @@
     pub(crate) trust: f64,
     pub(crate) probe_budget: f64,
     pub(crate) copy_budget: f64,
-    pub(crate) subscription: Subscription,
-    pub(crate) failed_calls: u32,
+    /// When discovery is called.
+    pub(crate) calls: CallSchedule,
     /// Shares of all servers, and when they were made.
     pub(crate) table: Vec<f64>,
     pub(crate) table_at: Option<Micros>,
@@ -282,6 +275,7 @@
     pub(crate) fn blank(settings: Settings, rng: Xoshiro128PlusPlus, now: Micros) -> Self {
         Balancer {
             tenants: Tenants::new(&settings.tenants, settings.balancers),
+            calls: CallSchedule::new(settings.balancers, settings.ask_within),
             settings,
             rng,
             now,
@@ -305,8 +299,6 @@
             trust: 0.0,
             probe_budget: 0.0,
             copy_budget: 0.0,
-            subscription: Subscription::Off,
-            failed_calls: 0,
             table: Vec::new(),
             table_at: None,
             shut_since: None,
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -26,6 +26,7 @@
 use flow::{FlowId, ForwardId, Order, Target};
 use roseproxy_decision::interface::{Action, ClassId, Micros, Outcome, Readiness, ServerId, Settings};
 use roseproxy_decision::policy::Balancer;
+use roseproxy_fleet::calls::PushedCalls;
 use std::collections::{HashMap, VecDeque};
 use timers::{Due, Timers};
 
@@ -99,8 +100,8 @@
     orders: VecDeque<Order>,
     last_flow: FlowId,
     last_probe: u64,
-    /// Where lists are pushed: calls to discovery that failed in a row.
-    failed_calls: u32,
+    /// Where lists are pushed: the pauses between calls to discovery.
+    pushed_calls: PushedCalls,
     /// What came in, went out and was answered.
     pub book: Book,
 }
@@ -129,7 +130,7 @@
             orders: first.into_iter().collect(),
             last_flow: 0,
             last_probe: 0,
-            failed_calls: 0,
+            pushed_calls: PushedCalls::default(),
             book: Book::default(),
         }
     }
--- a/crates/routing/src/take_in.rs
+++ b/crates/routing/src/take_in.rs
@@ -5,10 +5,6 @@
 use super::{time, Flow, Host, Member, SPARE};
 use roseproxy_decision::interface::{Event, Readiness, Request, Server, Update};
 
-/// Where lists are pushed: the first and the longest pause before discovery is watched anew (ms). What its agent
-/// has counts as told at once, so that all of a drain's grace may be left when it is back.
-const PUSHED_PAUSE: (f64, f64) = (25.0, 200.0);
-
 impl Host {
     /// Takes a request that a client sent whole. From here on it is owed exactly one answer, which
     /// comes as an [`super::flow::Order::Answer`] with the id returned.
@@ -46,7 +42,7 @@
     /// News of the target group. Only a complete list removes those that it does not name.
     pub fn targets(&mut self, now: f64, update: Update, targets: &[Target]) {
         self.book.lists += 1;
-        self.failed_calls = 0;
+        self.pushed_calls.received();
         if update == Update::Complete {
             let named: std::collections::HashSet<_> = targets.iter().map(|t| t.id).collect();
             let absent = self.members.values_mut().filter(|m| !named.contains(&m.target.id));
@@ -85,13 +81,17 @@
         self.book.list_failures += 1;
         if !self.settings.must_subscribe {
             // The module asks for no list where they are pushed.
-            let pause = PUSHED_PAUSE.0 * f64::from(1 << self.failed_calls.min(8));
-            self.failed_calls = self.failed_calls.saturating_add(1);
-            self.timers.set(now + pause.min(PUSHED_PAUSE.1), Due::Watch);
+            let pause = time::to_millis(self.pushed_calls.failed());
+            self.timers.set(now + pause, Due::Watch);
         }
         self.tell(now, Event::Servers { update: Update::Failed, servers: &[] });
     }
 
+    /// The watch fell silent and is opened anew without a pause; the list in hand stays.
+    pub fn watch_reopened(&mut self, now: f64) {
+        self.tell(now, Event::Servers { update: Update::Reopened, servers: &[] });
+    }
+
     /// Drops members that are gone and idle, or the map would grow with every machine ever seen.
     fn forget_gone(&mut self) {
         let busy: std::collections::HashSet<_> = self.forwards.values().map(|f| f.target).collect();
--- a/crates/transport/src/discovery.rs
+++ b/crates/transport/src/discovery.rs
@@ -67,7 +67,10 @@
                     // counts as told 6 s after that: it is opened anew at once. The beats of sidecars differ, which
                     // spreads their calls; one that finds no answer is a failure like others, with their pauses.
                     end = self.watch(address) => match end {
-                        Some(Silent) => self.gateway.forget_watch_wish(),
+                        Some(Silent) => {
+                            self.gateway.forget_watch_wish();
+                            self.gateway.watch_reopened();
+                        }
                         None => break,
                     },
                     // Another discovery may count its versions otherwise: the whole list is asked for.
--- a/crates/transport/src/gateway.rs
+++ b/crates/transport/src/gateway.rs
@@ -189,6 +189,12 @@
         self.settle();
     }
 
+    /// The watch fell silent and is opened anew.
+    pub(super) fn watch_reopened(self: &Rc<Self>) {
+        self.host.borrow_mut().watch_reopened(self.now());
+        self.settle();
+    }
+
     /// Waits until routing wants to watch discovery.
     pub async fn watch_wanted(&self) {
         while !self.watch_wish.take() {
