--- a/crates/transport/src/discovery.rs
+++ b/crates/transport/src/discovery.rs
@@ -42,7 +42,9 @@
         address: watch::Receiver<SocketAddr>,
         known: Option<u64>,
     ) -> Watcher<N> {
-        Watcher { gateway, address, revision: known, last: known.unwrap_or(0) }
+        let last = known.unwrap_or(0);
+        gateway.set_revision(last);
+        Watcher { gateway, address, revision: known, last }
     }
 
     /// Watches whenever routing wants it, and tells it of failures; routing's timers, which the
@@ -65,7 +67,10 @@
                     // counts as told 6 s after that: it is opened anew at once. The beats of sidecars differ, which
                     // spreads their calls; one that finds no answer is a failure like others, with their pauses.
                     end = self.watch(address) => match end {
-                        Some(Silent) => self.gateway.forget_watch_wish(),
+                        Some(Silent) => {
+                            self.gateway.forget_watch_wish();
+                            self.gateway.watch_reopened();
+                        }
                         None => break,
                     },
                     // Another discovery may count its versions otherwise: the whole list is asked for.
@@ -137,6 +142,7 @@
                     self.gateway.keep_leaving(&mut targets);
                 }
                 (self.revision, self.last) = (Some(revision), revision);
+                self.gateway.set_revision(revision);
                 self.gateway.targets(update, &targets);
             }
             Err(reason) => {
