--- a/crates/decision/src/policy.rs
+++ b/crates/decision/src/policy.rs
@@ -14,6 +14,7 @@
 use roseproxy_fleet::draw::pick as find;
 use roseproxy_fleet::homes::{Fleet, Place};
 use roseproxy_fleet::usual::usual_load;
+use std::collections::HashSet;
 
 /// Points that probing may cost, where only probes bring reports and where every answer brings one, which a
 /// probe tells no sooner; with the price of a probe it says how many a request affords.
@@ -44,8 +45,6 @@
 const FORGET: f64 = 1e6;
 /// Time out of reach after which a server counts as lost.
 const LOST: Micros = 500_000;
-/// Servers remembered before new ones take the place of those that are gone.
-const MOST: usize = 64;
 /// Shares of capacity with room and of late answers from and up to which one full server refuses nobody.
 const ROOM: (f64, f64) = (0.85, 0.1);
 /// Time (microseconds) without a send in which most of what was learnt of one server's pace is forgotten.
@@ -151,12 +150,16 @@
 
     fn on_servers(&mut self, update: Update, servers: &[Server]) {
         // A server that a complete list no longer names is gone.
-        let named = |b: &Backend| servers.iter().any(|s| s.id == b.info.id);
-        let missing = |b: &&mut Backend| update == Update::Complete && !named(b);
+        let named: HashSet<ServerId> = servers.iter().map(|s| s.id).collect();
+        let missing = |b: &&mut Backend| update == Update::Complete && !named.contains(&b.info.id);
         self.backends.iter_mut().filter(missing).for_each(|b| b.info.readiness = Readiness::Gone);
+        self.no_free_below = 0;
         for info in servers {
             let slot = self.slots.get(&info.id).copied().unwrap_or_else(|| self.place(info.id));
             self.backends[slot].update(info, self.now);
+            if info.readiness == Readiness::Gone {
+                self.no_free_below = self.no_free_below.min(slot);
+            }
         }
         self.table_at = None;
         self.follow(update);
@@ -168,22 +171,6 @@
         }
     }
 
-    /// Makes room for a new server. Past a bound it takes the place of one that is gone and that no
-    /// request has to do with, or memory would grow with every server ever heard of.
-    fn place(&mut self, id: ServerId) -> usize {
-        let met = |h: &Held, s: usize| h.probed.contains(&s) || h.attempts.iter().any(|a| a.slot == s);
-        let idle = |b: &Backend| b.info.readiness == Readiness::Gone && b.out == 0 && !b.probing;
-        let free = |s: &usize| idle(&self.backends[*s]) && !self.requests.values().any(|h| met(h, *s));
-        let full = self.backends.len() >= MOST;
-        let slot = (0..self.backends.len()).find(|s| full && free(s)).unwrap_or(self.backends.len());
-        match self.backends.get_mut(slot) {
-            Some(gone) => drop(self.slots.remove(&std::mem::take(gone).info.id)),
-            None => self.backends.push(Backend::default()),
-        }
-        self.slots.insert(id, slot);
-        slot
-    }
-
     /// Keeps the subscription: plans the next call to discovery where none is planned or out.
     fn follow(&mut self, update: Update) {
         if !self.settings.must_subscribe {
--- a/crates/decision/src/state.rs
+++ b/crates/decision/src/state.rs
@@ -16,6 +16,9 @@
 /// Time (microseconds) over which the own rate of requests is smoothed.
 pub(crate) const RATE: f64 = 5e6;
 
+/// Servers remembered before new ones take the place of those that are gone.
+const MOST: usize = 64;
+
 /// One server of a water-fill: the three numbers by which it is judged.
 #[derive(Clone, Copy, Debug)]
 pub struct Vessel {
@@ -150,6 +153,9 @@
     pub(crate) out: Vec<Action>,
     pub(crate) backends: Vec<Backend>,
     pub(crate) slots: HashMap<ServerId, usize>,
+    /// While a list is taken in: no slot below this one can be given to a new server, so that the search for
+    /// one goes over all of them once for a whole list.
+    pub(crate) no_free_below: usize,
     /// Logarithm of the work that a server of power 1 does in a unit of time, and answers seen.
     pub(crate) pace: f64,
     pub(crate) seen: f64,
@@ -248,6 +254,30 @@
         }
     }
 
+    /// Makes room for a new server. Past a bound it takes the place of one that is gone and that no
+    /// request has to do with, or memory would grow with every server ever heard of.
+    pub(crate) fn place(&mut self, id: ServerId) -> usize {
+        let slot = self.free_slot().unwrap_or(self.backends.len());
+        match self.backends.get_mut(slot) {
+            Some(gone) => drop(self.slots.remove(&std::mem::take(gone).info.id)),
+            None => self.backends.push(Backend::default()),
+        }
+        self.slots.insert(id, slot);
+        slot
+    }
+
+    fn free_slot(&mut self) -> Option<usize> {
+        if self.backends.len() < MOST {
+            return None;
+        }
+        let met = |h: &Held, s: usize| h.probed.contains(&s) || h.attempts.iter().any(|a| a.slot == s);
+        let idle = |b: &Backend| b.info.readiness == Readiness::Gone && b.out == 0 && !b.probing;
+        let free = |s: &usize| idle(&self.backends[*s]) && !self.requests.values().any(|h| met(h, *s));
+        let slot = (self.no_free_below..self.backends.len()).find(free);
+        self.no_free_below = slot.map_or(self.backends.len(), |slot| slot + 1);
+        slot
+    }
+
     /// Probes a server, unless a probe is out.
     pub(crate) fn probe(&mut self, slot: usize) {
         let b = &mut self.backends[slot];
@@ -283,6 +313,7 @@
             out: Vec::new(),
             backends: Vec::new(),
             slots: HashMap::new(),
+            no_free_below: 0,
             pace: 0.0,
             seen: 0.0,
             kinds: HashMap::new(),
