--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -1,30 +1,16 @@
 //! One day played, and what is kept of it.
 
+use crate::processes::{own_cpu, own_memory};
 use crate::strategies::Strategy;
+use crate::timing::Timing;
 use crate::{real, virtual_time};
 use roseproxy_emulator::day::Day;
 use roseproxy_emulator::plan::Plan;
 use roseproxy_emulator::result::{outcome, Outcome, Second};
-use serde::Serialize;
 use std::fmt::Write;
 use std::path::Path;
 use std::time::Instant;
 
-/// What a play took; the one file that differs from play to play.
-#[derive(Clone, Debug, Default, Serialize)]
-pub struct Timing {
-    /// Wall time (s).
-    pub wall_s: f64,
-    /// Length of the day over the wall time.
-    pub speed_up: f64,
-    /// CPU time of this process or, on real sockets, of all sidecars (s).
-    pub cpu_s: f64,
-    /// Most memory of this process or, on real sockets, of one sidecar (MB).
-    pub memory_mb: f64,
-    /// Whether it was played on real sockets.
-    pub real: bool,
-}
-
 /// A day that was played.
 pub struct Played {
     pub outcome: Outcome,
@@ -58,11 +44,10 @@
             real::play(plan, program, how.live, |world| outcome(world, &name))?
         }
         None => {
-            let cpu = real::own_cpu();
+            let cpu = own_cpu();
             let (outcome, series) =
                 virtual_time::play(plan, how.strategy, None, |world| outcome(world, &name))?;
-            let timing =
-                Timing { cpu_s: real::own_cpu() - cpu, memory_mb: real::own_memory(), ..Timing::default() };
+            let timing = Timing { cpu_s: own_cpu() - cpu, memory_mb: own_memory(), ..Timing::default() };
             (outcome, series, timing)
         }
     };
--- a/crates/lab/src/sweep.rs
+++ b/crates/lab/src/sweep.rs
@@ -84,6 +84,19 @@
     results.into_iter().map(|r| r.unwrap_or_else(|| Err("its thread ended".into()))).collect()
 }
 
+/// Sets a key of a TOML table by its path, as `load.of_capacity`.
+pub fn set_key(table: &mut toml::Table, key: &str, value: &toml::Value) -> Result<(), String> {
+    let mut at = table;
+    let mut parts: Vec<&str> = key.split('.').collect();
+    let last = parts.pop().unwrap_or_default();
+    for part in parts {
+        let inner = at.entry(part).or_insert_with(|| toml::Value::Table(toml::Table::new()));
+        at = inner.as_table_mut().ok_or_else(|| format!("set {key}: {part} is no table"))?;
+    }
+    at.insert(last.into(), value.clone());
+    Ok(())
+}
+
 /// A day's file with some keys set.
 pub fn day_with(path: &Path, set: &BTreeMap<String, toml::Value>) -> Result<Day, String> {
     if set.is_empty() {
@@ -93,14 +106,7 @@
     let text = std::fs::read_to_string(path).map_err(|e| format!("{name}: {e}"))?;
     let mut table: toml::Table = text.parse().map_err(|e| format!("{name}: {e}"))?;
     for (key, value) in set {
-        let mut at = &mut table;
-        let mut parts: Vec<&str> = key.split('.').collect();
-        let last = parts.pop().unwrap_or_default();
-        for part in parts {
-            let inner = at.entry(part).or_insert_with(|| toml::Value::Table(toml::Table::new()));
-            at = inner.as_table_mut().ok_or_else(|| format!("set {key}: {part} is no table"))?;
-        }
-        at.insert(last.into(), value.clone());
+        set_key(&mut table, key, value)?;
     }
     let text = toml::to_string(&table).map_err(|e| format!("{name}: {e}"))?;
     Day::read(&format!("{name} with {set:?}"), &text).map_err(|e| e.to_string())
--- a/crates/lab/src/virtual_time.rs
+++ b/crates/lab/src/virtual_time.rs
@@ -4,82 +4,41 @@
 //! drops all of it at once. One thread, one clock, one order of wakes: equal days, seeds and builds give
 //! equal results to the byte.
 
+use crate::in_process::{InProcess, MemoryNetwork};
+use crate::recorded::{Log, Recorded};
 use crate::strategies::{Strategy, Truth, Yardstick};
-use crate::trace::{Log, Recorded};
 use roseproxy::config::Config;
-use roseproxy::signals::Asked;
-use roseproxy::start::{serve, Surroundings};
 use roseproxy::Clock;
 use roseproxy_decision::interface::{ServerId, Settings};
 use roseproxy_decision::policy::Balancer;
-use roseproxy_emulator::fabric::Fabric;
-use roseproxy_emulator::memory::{Memory, MemoryListener, MemoryStream};
+use roseproxy_emulator::memory::Memory;
 use roseproxy_emulator::plan::Plan;
 use roseproxy_emulator::world::{Addresses, Sidecars, Signal, World};
 use roseproxy_platform::wire::tag;
 use roseproxy_routing::decide::Decider;
 use roseproxy_routing::time::to_micros;
-use roseproxy_transport::network::{Network, Quiet};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
-use std::io;
-use std::net::SocketAddr;
+use std::collections::BTreeMap;
 use std::rc::{Rc, Weak};
-use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
-use tokio::task::{spawn_local, JoinHandle, LocalSet};
+use tokio::task::LocalSet;
 
 /// Unix time (ms) at which every virtual world begins.
 pub const EPOCH: f64 = 1_800_000_000_000.0;
 /// Descriptors that a program holds besides its streams: standard ones, the runtime's, the listener.
 const BESIDES: usize = 8;
 
-/// A sidecar's place in the network in memory: what it opens and accepts is counted.
-#[derive(Clone)]
-struct Node {
-    memory: Memory,
-    held: Rc<Cell<usize>>,
-}
-
-impl Network for Node {
-    type Listener = MemoryListener;
-    type Accepted = MemoryStream;
-    type Opened = MemoryStream;
-
-    async fn listen(&self, address: SocketAddr) -> io::Result<MemoryListener> {
-        self.memory.bind(address).await
-    }
-
-    async fn accept(&self, listener: &MemoryListener) -> io::Result<(MemoryStream, Quiet)> {
-        let stream = self.memory.accept(listener).await?.counted(&self.held);
-        let quiet = Box::new(stream.quiet());
-        Ok((stream, quiet))
-    }
-
-    async fn connect(&self, address: SocketAddr) -> io::Result<(MemoryStream, Quiet)> {
-        let stream = self.memory.connect(address).await?.counted(&self.held);
-        let quiet = Box::new(stream.quiet());
-        Ok((stream, quiet))
-    }
-}
-
-struct Running {
-    task: JoinHandle<()>,
-    asked: UnboundedSender<Asked>,
-    /// What its configuration file holds now.
-    file: Rc<RefCell<Value>>,
-    held: Rc<Cell<usize>>,
-}
-
-/// Sidecars in this process.
-struct InProcess {
+/// Sidecars over pipes in memory.
+struct MemorySidecars {
     memory: Memory,
     strategy: Strategy,
     log: Option<Log>,
     world: RefCell<Weak<World<Memory>>>,
-    running: RefCell<Vec<Option<Running>>>,
+    in_process: InProcess,
+    held: RefCell<BTreeMap<usize, Rc<Cell<usize>>>>,
 }
 
-impl InProcess {
+impl MemorySidecars {
     fn now(&self) -> f64 {
         self.world.borrow().upgrade().map_or(0.0, |w| w.now())
     }
@@ -110,61 +69,28 @@
     }
 }
 
-impl Sidecars for InProcess {
+impl Sidecars for MemorySidecars {
     fn start(&self, number: usize, config: &Value) -> Result<(), String> {
-        let text = config.to_string();
-        let parsed = Config::read(&text, |_| None)?;
+        let parsed = Config::read(&config.to_string(), |_| None)?;
         let clock = Clock::from(EPOCH + self.now());
-        let decider = self.decider(number, parsed.settings.clone(), parsed.seed, clock.now());
-        let (asked, asking) = unbounded_channel();
-        let file = Rc::new(RefCell::new(config.clone()));
+        let decider = self.decider(number, parsed.settings, parsed.seed, clock.now());
         let held = Rc::new(Cell::new(0));
-        let network = Node { memory: self.memory.clone(), held: held.clone() };
-        let say: Rc<dyn Fn(&str)> = Rc::new(move |line| tracing::debug!(sidecar = number, "{line}"));
-        let around = Surroundings { network, clock, say, decider };
-        let read = {
-            let file = file.clone();
-            move || Config::read(&file.borrow().to_string(), |_| None)
-        };
-        let task = spawn_local(async move {
-            // A set of its own: when this task is dropped, all that the sidecar had begun goes with it.
-            let set = LocalSet::new();
-            if let Err(reason) = set.run_until(serve(parsed, around, asking, read)).await {
-                tracing::error!(sidecar = number, "{reason}");
-            }
-        });
-        let mut running = self.running.borrow_mut();
-        if running.len() <= number {
-            running.resize_with(number + 1, || None);
-        }
-        running[number] = Some(Running { task, asked, file, held });
-        Ok(())
+        let network = MemoryNetwork { memory: self.memory.clone(), held: held.clone() };
+        self.held.borrow_mut().insert(number, held);
+        self.in_process.start(number, config, network, clock, decider)
     }
 
     fn signal(&self, number: usize, signal: Signal) {
-        let mut running = self.running.borrow_mut();
-        let Some(Some(one)) = running.get_mut(number) else { return };
-        // One that has ended hears nothing any more.
-        match signal {
-            Signal::Term => {
-                let _ = one.asked.send(Asked::End);
-            }
-            Signal::Reload(config) => {
-                *one.file.borrow_mut() = config;
-                let _ = one.asked.send(Asked::Reload);
-            }
-            Signal::Kill => one.task.abort(),
-        }
+        self.in_process.signal(number, signal);
     }
 
     fn ended(&self, number: usize) -> bool {
-        self.running.borrow().get(number).is_none_or(|one| one.as_ref().is_none_or(|r| r.task.is_finished()))
+        self.in_process.ended(number)
     }
 
     fn holds(&self, number: usize) -> (Option<usize>, Option<f64>) {
-        let running = self.running.borrow();
-        let held = running.get(number).and_then(Option::as_ref).map(|one| one.held.get() + BESIDES);
-        (held, None)
+        let held = self.held.borrow();
+        (held.get(&number).map(|held| held.get() + BESIDES), None)
     }
 }
 
@@ -179,12 +105,13 @@
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     LocalSet::new().block_on(&runtime, async {
         let memory = Memory::default();
-        let sidecars = Rc::new(InProcess {
+        let sidecars = Rc::new(MemorySidecars {
             memory: memory.clone(),
             strategy,
             log,
             world: RefCell::default(),
-            running: RefCell::default(),
+            in_process: InProcess::default(),
+            held: RefCell::default(),
         });
         let world = World::new(memory, plan, Addresses { port: 7070 }, EPOCH, sidecars.clone());
         *sidecars.world.borrow_mut() = Rc::downgrade(&world);
