--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -9,6 +9,7 @@
 pub mod recorded;
 pub mod report;
 pub mod run;
+pub mod scale;
 pub mod stats;
 pub mod strategies;
 pub mod swarm;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -5,7 +5,7 @@
 use roseproxy_emulator::day::Day;
 use roseproxy_lab::run::How;
 use roseproxy_lab::strategies::Strategy;
-use roseproxy_lab::{claims, report, run, swarm, sweep, trace};
+use roseproxy_lab::{claims, report, run, scale, swarm, sweep, trace};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
@@ -69,6 +69,26 @@
         #[arg(long)]
         threads: Option<usize>,
     },
+    /// Run a scale experiment: a fleet of real and hollow sidecars on sockets, or all of it in virtual time
+    Scale {
+        /// The experiment's file
+        experiment: PathBuf,
+        /// Where its results go
+        #[arg(long)]
+        out: PathBuf,
+        /// In virtual time, with all sidecars hollow
+        #[arg(long = "virtual")]
+        virtual_time: bool,
+        /// Run it with all sidecars real and with all hollow, and say how much they differ
+        #[arg(long, conflicts_with = "virtual_time")]
+        calibrate: bool,
+        /// The program that real sidecars run
+        #[arg(long, default_value = "target/release/roseproxy")]
+        program: PathBuf,
+    },
+    /// Run hollow sidecars as told on the input; `scale` starts this
+    #[command(hide = true, name = scale::worker::SUBCOMMAND)]
+    Hollow,
     /// Compare two folders of results, paired by day and seed
     Compare {
         /// The one
@@ -169,6 +189,12 @@
             print!("{}", sweep::sweep(&experiment, &out, threads)?);
             Ok(true)
         }
+        Command::Scale { experiment, out, virtual_time, calibrate, program } => {
+            let how = scale::How { virtual_time, calibrate, program };
+            print!("{}", scale::run(&experiment, &out, &how)?);
+            Ok(true)
+        }
+        Command::Hollow => scale::worker::run().map(|()| true),
         Command::Compare { a, b, metric } => {
             print!("{}", sweep::compare(&a, &b, &metric)?);
             Ok(true)
--- /dev/null
+++ b/crates/lab/tests/scale.rs
@@ -0,0 +1,181 @@
+//! The scale run: its files, its counts in virtual time, and hollow sidecars on sockets.
+
+use roseproxy_lab::scale::{fit, Convergence, Experiment};
+use serde_json::Value;
+use std::path::{Path, PathBuf};
+use std::process::{Command, Output};
+
+fn root() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
+}
+
+fn lab(args: &[&str]) -> Output {
+    Command::new(env!("CARGO_BIN_EXE_roseproxy-lab"))
+        .args(args)
+        .current_dir(root())
+        .output()
+        .expect("it starts")
+}
+
+/// Runs an experiment's text; returns what the program left, and the folder's result.
+fn scale(text: &str, more: &[&str]) -> (Output, Value) {
+    let folder = tempfile::tempdir().expect("a folder");
+    let file = folder.path().join("experiment.toml").display().to_string();
+    let out = folder.path().join("out").display().to_string();
+    std::fs::write(&file, text).expect("written");
+    let done = lab(&[&["scale", &file, "--out", &out], more].concat());
+    let result = std::fs::read_to_string(format!("{out}/result.json")).unwrap_or_else(|_| "null".into());
+    (done, serde_json::from_str(&result).expect("JSON"))
+}
+
+/// A small fleet in virtual time, which must run without a fault of its own.
+fn small(more: &str) -> Value {
+    let text = format!(
+        "name = 'small'\nlength_s = 80\n[fleet]\nservers = 24\nsidecars = 60\n[calls]\nper_s = 60\n{more}"
+    );
+    let (done, result) = scale(&text, &["--virtual"]);
+    assert!(done.status.success(), "{}", String::from_utf8_lossy(&done.stderr));
+    result["points"][0]["figures"].clone()
+}
+
+fn number(value: &Value, path: &str) -> f64 {
+    let found = path.split('.').fold(value, |at, key| &at[key]);
+    found.as_f64().unwrap_or_else(|| panic!("no figure {path}"))
+}
+
+#[test]
+fn a_faulty_experiment_ends_with_2_and_names_file_and_key() {
+    let cases = [
+        ("name = 'a'\nlength_s = 5\n[fleet]\nsidecras = 5\n", "sidecras"),
+        ("name = 'a'\nlength_s = 5\n[fleet]\nsidecars = 0\n", "fleet.sidecars"),
+        ("name = 'a'\nlength_s = 5\n[fleet]\nsidecars = 5\nreal = 6\n", "fleet.real"),
+        (
+            "name = 'a'\nlength_s = 5\n[[fault]]\nkind = 'region-cut'\nat_s = 1\nregion = 9\n",
+            "fault 1: region",
+        ),
+        ("name = 'a'\nlength_s = 5\n[[sweep]]\nkey = 'fleet.srvers'\nvalues = [1]\n", "srvers"),
+        ("name = 'a'\nlength_s = 5\n[[sweep]]\nkey = 'calls.per_s'\nvalues = [1, -1]\n", "calls.per_s"),
+    ];
+    for (text, key) in cases {
+        let (done, _) = scale(text, &["--virtual"]);
+        let error = String::from_utf8_lossy(&done.stderr).into_owned();
+        assert_eq!(done.status.code(), Some(2), "{text}: {error}");
+        assert!(error.contains("experiment.toml") && error.contains(key), "{key} in {error}");
+    }
+}
+
+#[test]
+fn shipped_experiments_can_be_read() {
+    let mut read = 0;
+    for entry in std::fs::read_dir(root().join("lab/experiments")).expect("the folder").flatten() {
+        if entry.file_name().to_string_lossy().starts_with("scale") {
+            Experiment::load(&entry.path()).expect("an experiment");
+            read += 1;
+        }
+    }
+    assert!(read > 0);
+}
+
+#[test]
+fn equal_files_give_equal_results_in_virtual_time() {
+    let text = "name = 'a'\nlength_s = 20\n[fleet]\nservers = 10\nsidecars = 20\n[calls]\nper_s = 40\n\
+                [[fault]]\nkind = 'restart-all'\nat_s = 5\n";
+    let first = scale(text, &["--virtual"]).1;
+    assert_eq!(first, scale(text, &["--virtual"]).1);
+    assert!(number(&first["points"][0]["figures"], "fault.calls.served") > 200.0);
+}
+
+/// What is away is not watched, and all watch again once it is back; no call fails for it.
+#[test]
+fn discovery_away_stops_all_watches_and_no_call() {
+    let figures = small("[[fault]]\nkind = 'discovery-away'\nat_s = 10\nlen_s = 8\n");
+    assert_eq!(number(&figures["seconds"][14], "watching"), 0.0);
+    assert_eq!(number(&figures["seconds"][79], "watching"), 60.0);
+    assert_eq!(number(&figures, "fault.told.not_told"), 0.0);
+    assert!(number(&figures, "fault.watching.all_s") > 0.0);
+    assert!(number(&figures, "fault.discovery.watches") >= 60.0);
+    assert_eq!(number(&figures, "fault.calls.failed"), 0.0);
+    assert_eq!(figures["violations"], serde_json::json!({}));
+}
+
+#[test]
+fn sidecars_restarted_at_once_call_discovery_once_each() {
+    let figures = small("[[fault]]\nkind = 'restart-all'\nat_s = 10\n");
+    assert_eq!(number(&figures, "fault.discovery.watches"), 60.0);
+    assert_eq!(number(&figures, "fault.discovery.lists"), 0.0);
+    assert_eq!(figures["violations"], serde_json::json!({}));
+}
+
+/// A region of three holds a third of the sidecars, and they lose their watches for the time.
+#[test]
+fn a_cut_region_loses_its_watches_and_gets_them_back() {
+    let figures = small("[[fault]]\nkind = 'region-cut'\nat_s = 10\nlen_s = 20\n");
+    let during = number(&figures["seconds"][25], "watching");
+    assert!((30.0..50.0).contains(&during), "{during}");
+    assert_eq!(number(&figures["seconds"][79], "watching"), 60.0);
+    // One change as it is noticed, one in its middle, one at its end, and those of the usual rate.
+    assert!(number(&figures, "fault.told.changes") >= 3.0);
+    assert_eq!(number(&figures, "fault.told.not_told"), 0.0);
+}
+
+#[test]
+fn changes_come_at_their_rate_and_reach_all() {
+    let figures = small("[changes]\nper_day = 8640\n[[fault]]\nkind = 'changes'\nat_s = 10\nlen_s = 60\n");
+    // One in ten seconds, and ten times that for a minute.
+    let changes = number(&figures, "fault.told.changes");
+    assert!((56.0..=64.0).contains(&changes), "{changes}");
+    assert_eq!(number(&figures, "fault.told.not_told"), 0.0);
+    assert_eq!(figures["violations"], serde_json::json!({}));
+}
+
+#[test]
+fn a_sweep_gives_slopes_and_exponents() {
+    let text = "name = 'a'\nlength_s = 12\n[fleet]\nservers = 10\nsidecars = 10\n[calls]\nper_s = 20\n\
+                [[sweep]]\nkey = 'calls.per_s'\nvalues = [20, 40, 80]\n";
+    let (done, result) = scale(text, &["--virtual"]);
+    let fit = &result["fits"]["calls.per_s"]["quiet.per_sidecar.attempts_per_s"];
+    // Ten sidecars: a tenth of each call a second.
+    assert!((number(fit, "slope") - 0.1).abs() < 0.01, "{fit}");
+    assert!((number(fit, "exponent") - 1.0).abs() < 0.1, "{fit}");
+    assert!(String::from_utf8_lossy(&done.stdout).contains("By calls.per_s"));
+}
+
+/// Hollow sidecars in a process of their own serve on sockets, and end with the run.
+#[test]
+fn hollow_sidecars_serve_on_sockets() {
+    let text =
+        "name = 'a'\nlength_s = 6\n[fleet]\nservers = 5\nsidecars = 6\nworkers = 2\n[calls]\nper_s = 30\n\
+                [[fault]]\nkind = 'restart-all'\nat_s = 2\n";
+    // None of them is real: any program that exists will do.
+    let (done, result) = scale(text, &["--program", env!("CARGO_BIN_EXE_roseproxy-lab")]);
+    assert!(done.status.success(), "{}", String::from_utf8_lossy(&done.stderr));
+    let figures = &result["points"][0]["figures"];
+    assert!(number(figures, "quiet.calls.served") > 20.0, "{figures}");
+    assert_eq!(number(figures, "fault.discovery.watches"), 6.0);
+}
+
+#[test]
+fn a_line_and_a_power_are_found_again() {
+    let line = fit(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)]).expect("three points");
+    assert!((line.slope - 2.0).abs() < 1e-9 && (line.intercept - 3.0).abs() < 1e-9, "{line:?}");
+    assert!(line.residuals.iter().all(|r| r.abs() < 1e-9) && (line.r_squared - 1.0).abs() < 1e-9);
+    let power = fit(&[(1.0, 3.0), (2.0, 12.0), (4.0, 48.0)]).expect("three points");
+    assert!((power.exponent.expect("all are above 0") - 2.0).abs() < 1e-9, "{power:?}");
+    assert!(power.r_squared < 1.0 && fit(&[(1.0, 0.0), (2.0, 1.0)]).expect("two points").exponent.is_none());
+    assert_eq!(fit(&[(1.0, 5.0), (1.0, 6.0)]), None, "the variable does not vary");
+}
+
+#[test]
+fn a_change_counts_as_told_with_any_later_one() {
+    let mut convergence = Convergence::new(4);
+    convergence.published(1_000.0, 2);
+    convergence.published(2_000.0, 3);
+    convergence.told(3_000.0, 0, 2);
+    convergence.told(4_000.0, 0, 3);
+    convergence.told(6_000.0, 1, 3);
+    let spread = convergence.spread(0.0, 10_000.0, 0.0);
+    assert_eq!((spread.changes, spread.not_told, spread.last_s), (2.0, 4.0, 5.0));
+    // What was published before discovery could be reached counts from then on.
+    assert_eq!(convergence.spread(0.0, 10_000.0, 5_500.0).last_s, 0.5);
+    assert_eq!(convergence.spread(1_500.0, 10_000.0, 0.0).changes, 1.0);
+}
