--- a/crates/lab/src/claims.rs
+++ b/crates/lab/src/claims.rs
@@ -1,9 +1,11 @@
 //! A subsystem's promises as data: played, measured, and held against their bounds.
 
 use crate::run::{result_text, How};
+use crate::scale::{run_virtual, Experiment};
 use crate::stats::{bootstrap, figure, mean, quantile};
 use crate::strategies::Strategy;
 use crate::sweep::{day_with, play_all, Task};
+use indicatif::ProgressBar;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -23,12 +25,14 @@
 struct Claim {
     name: String,
     /// The day's file, relative to the claims' own.
-    day: PathBuf,
+    day: Option<PathBuf>,
+    /// In place of a day: a scale experiment's file, run in virtual time.
+    scale: Option<PathBuf>,
     #[serde(default)]
     strategy: Strategy,
     #[serde(default)]
     set: BTreeMap<String, toml::Value>,
-    /// A path in `result.json`, `violations`, or `deterministic` (1 where a second play gives equal bytes).
+    /// A path in `result.json` (of a scale experiment, in a point's figures), `violations`, or `deterministic` (1 where a second play gives equal bytes).
     metric: String,
     #[serde(default)]
     statistic: Statistic,
@@ -79,7 +83,11 @@
     set: &BTreeMap<String, toml::Value>,
     seeds: [u64; 2],
 ) -> Result<Vec<f64>, String> {
-    let day = day_with(&base.join(&claim.day), set)?;
+    let day = match (&claim.day, &claim.scale) {
+        (Some(day), None) => day_with(&base.join(day), set)?,
+        (None, Some(scale)) => return scale_figures(claim, &base.join(scale), set, seeds),
+        _ => return Err(format!("claim {}: it names a day or a scale experiment", claim.name)),
+    };
     let how = How { strategy, ..How::default() };
     let task = |seed| Task { variant: claim.name.clone(), day: day.clone(), seed, how: how.clone() };
     let twice = claim.metric == "deterministic";
@@ -98,6 +106,29 @@
     played.iter().map(value).collect()
 }
 
+/// A figure of a scale experiment, for each seed.
+fn scale_figures(
+    claim: &Claim,
+    file: &Path,
+    set: &BTreeMap<String, toml::Value>,
+    seeds: [u64; 2],
+) -> Result<Vec<f64>, String> {
+    let experiment = Experiment::load_with(file, set)?;
+    let run = |seed: u64| -> Result<serde_json::Value, String> {
+        let experiment = Experiment { seed, ..experiment.clone() };
+        serde_json::to_value(run_virtual(&experiment, &ProgressBar::hidden())?).map_err(|e| e.to_string())
+    };
+    let of_seed = |seed: u64| -> Result<f64, String> {
+        let result = run(seed)?;
+        if claim.metric == "deterministic" {
+            return Ok(f64::from(u8::from(run(seed)? == result)));
+        }
+        let value = figure(&result, &claim.metric);
+        value.ok_or_else(|| format!("claim {}: no figure {}", claim.name, claim.metric))
+    };
+    (seeds[0]..=seeds[1]).map(of_seed).collect()
+}
+
 /// Runs all claims of a file. Returns the table, and whether all are kept.
 pub fn claims(file: &Path, seeds: Option<[u64; 2]>) -> Result<(String, bool), String> {
     let name = file.display().to_string();
--- a/crates/lab/src/scale/changes.rs
+++ b/crates/lab/src/scale/changes.rs
@@ -65,7 +65,7 @@
 /// Publishes entries as one change.
 pub fn publish_entries<F: Fabric>(simulation: &Simulation<F>, servers: &[usize], phase: Option<Phase>) {
     let revision = simulation.discovery.publish(servers, phase, simulation.unix_now());
-    simulation.convergence.borrow_mut().published(simulation.now(), revision);
+    simulation.published(revision);
 }
 
 /// Publishes an entry once more with nothing changed.
--- a/crates/lab/src/scale/clients.rs
+++ b/crates/lab/src/scale/clients.rs
@@ -79,7 +79,7 @@
     let state = simulation.state(sidecar);
     let excused = !state.ready || state.starts != starts;
     let mut audit = simulation.audit.borrow_mut();
-    audit.ended(id);
+    audit.ended(simulation.now(), id);
     simulation.clients.count(|counts| match end {
         Ok(Ok(answer)) => match answer.status {
             200 => counts.served += 1,
--- a/crates/lab/src/scale/drive.rs
+++ b/crates/lab/src/scale/drive.rs
@@ -14,6 +14,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
+use tokio::signal::unix::{signal, SignalKind};
 use tokio::task::LocalSet;
 
 /// The port of all addresses in virtual time.
@@ -43,7 +44,12 @@
     }
     let mut results = Vec::new();
     for point in points {
-        let figures = run_point(&point.experiment, how, &bar).map_err(|e| match &point.swept {
+        let figures = if how.virtual_time {
+            run_virtual(&point.experiment, &bar)
+        } else {
+            run_on_sockets(&point.experiment, how, &bar)
+        };
+        let figures = figures.map_err(|e| match &point.swept {
             Some((key, value)) => format!("{key} = {value}: {e}"),
             None => e,
         })?;
@@ -70,17 +76,19 @@
     Ok(vec![point(all), point(0)])
 }
 
-fn run_point(experiment: &Experiment, how: &How, bar: &ProgressBar) -> Result<Figures, String> {
-    if how.virtual_time {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
-        let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
-        return LocalSet::new().block_on(&runtime, async {
-            let memory = Memory::default();
-            let sidecars = Rc::new(MemorySidecars::new(memory.clone(), EPOCH));
-            let topology = Topology::new(&experiment.fleet, VIRTUAL_PORT);
-            play(memory, experiment, topology, EPOCH, sidecars, bar).await
-        });
-    }
+/// Runs an experiment in virtual time: equal experiments and builds give equal figures.
+pub fn run_virtual(experiment: &Experiment, bar: &ProgressBar) -> Result<Figures, String> {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
+    let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
+    LocalSet::new().block_on(&runtime, async {
+        let memory = Memory::default();
+        let sidecars = Rc::new(MemorySidecars::new(memory.clone(), EPOCH)?);
+        let topology = Topology::new(&experiment.fleet, VIRTUAL_PORT);
+        play(memory, experiment, topology, EPOCH, sidecars, bar).await
+    })
+}
+
+fn run_on_sockets(experiment: &Experiment, how: &How, bar: &ProgressBar) -> Result<Figures, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     LocalSet::new().block_on(&runtime, async {
@@ -90,7 +98,13 @@
         let epoch = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64() * 1e3);
         let sidecars = Rc::new(SocketSidecars::new(&experiment.fleet, &how.program, port)?);
         let topology = Topology::new(&experiment.fleet, port);
-        play(Loopback, experiment, topology, epoch, sidecars, bar).await
+        // Whoever interrupts the run means its processes too, and those end as the run is dropped.
+        let mut term = signal(SignalKind::terminate()).map_err(|e| format!("signals: {e}"))?;
+        tokio::select! {
+            played = play(Loopback, experiment, topology, epoch, sidecars, bar) => played,
+            _ = term.recv() => Err("interrupted".into()),
+            _ = tokio::signal::ctrl_c() => Err("interrupted".into()),
+        }
     })
 }
 
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -26,8 +26,9 @@
 mod topology;
 pub mod worker;
 
+pub use audit::{Audit, Rule};
 pub use convergence::{Convergence, Spread};
-pub use drive::{run, How};
+pub use drive::{run, run_virtual, How};
 pub use experiment::{Experiment, Point};
 pub use figures::Figures;
 pub use fit::{fit, Fit};
