--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -2,7 +2,6 @@
 
 use crate::run::{summary, write, Played};
 use crate::stats::{bootstrap, figure, mean};
-use crate::sweep::Experiment;
 use plotters::coord::Shift;
 use plotters::prelude::*;
 use std::collections::BTreeMap;
@@ -243,17 +242,17 @@
 
 /// An experiment's first metric as bars: a group for each day, a bar for each variant, with its interval.
 pub fn bars(
-    experiment: &Experiment,
+    name: &str,
+    metric: &str,
+    variants: &[&str],
     figures: &BTreeMap<(String, String), Vec<serde_json::Value>>,
 ) -> Result<String, String> {
-    let metric = experiment.metrics.first().cloned().unwrap_or_default();
     let mut days: Vec<&String> = figures.keys().map(|(day, _)| day).collect();
     days.dedup();
-    let variants: Vec<&String> = experiment.variants.iter().map(|v| &v.name).collect();
     let estimates: BTreeMap<(&str, &str), _> = figures
         .iter()
         .map(|((day, variant), values)| {
-            let of: Vec<f64> = values.iter().filter_map(|v| figure(v, &metric)).collect();
+            let of: Vec<f64> = values.iter().filter_map(|v| figure(v, metric)).collect();
             ((day.as_str(), variant.as_str()), bootstrap(&of, mean))
         })
         .collect();
@@ -264,19 +263,13 @@
     let width = (160 + 14 * days.len() as u32 * (variants.len() as u32 + 1)).clamp(700, 2400);
     svg((width, 420), |area| {
         let mut chart = ChartBuilder::on(area)
-            .caption(format!("{}: {metric}", experiment.name), TITLE)
+            .caption(format!("{name}: {metric}"), TITLE)
             .margin(8)
             .x_label_area_size(40)
             .y_label_area_size(52)
             .build_cartesian_2d(0.0..group * days.len() as f64, 0.0..top.max(1e-6))?;
         let labels = days.clone();
-        chart
-            .configure_mesh()
-            .disable_x_mesh()
-            .x_labels(0)
-            .y_desc(metric.clone())
-            .label_style(FONT)
-            .draw()?;
+        chart.configure_mesh().disable_x_mesh().x_labels(0).y_desc(metric).label_style(FONT).draw()?;
         for (d, day) in labels.iter().enumerate() {
             let at = (d as f64 * group + 0.3, -top * 0.02);
             chart.draw_series([Text::new((*day).clone(), at, ("sans-serif", 12))])?;
@@ -284,14 +277,14 @@
         for (v, variant) in variants.iter().enumerate() {
             let colour = colour(v);
             let bars = days.iter().enumerate().filter_map(|(d, day)| {
-                let e = estimates.get(&(day.as_str(), variant.as_str()))?;
+                let e = estimates.get(&(day.as_str(), *variant))?;
                 let x = d as f64 * group + v as f64 + 0.5;
                 Some(Rectangle::new([(x, 0.0), (x + 0.9, e.value)], colour.filled()))
             });
-            let drawn = chart.draw_series(bars)?.label(variant.as_str());
+            let drawn = chart.draw_series(bars)?.label(*variant);
             drawn.legend(move |(x, y)| Rectangle::new([(x, y - 5), (x + 12, y + 5)], colour.filled()));
             let whiskers = days.iter().enumerate().filter_map(|(d, day)| {
-                let e = estimates.get(&(day.as_str(), variant.as_str()))?;
+                let e = estimates.get(&(day.as_str(), *variant))?;
                 let x = d as f64 * group + v as f64 + 0.95;
                 let (low, high) = (e.low.max(0.0), e.high.min(top));
                 Some(PathElement::new([(x, low), (x, high)], BLACK))
--- a/crates/lab/src/sweep.rs
+++ b/crates/lab/src/sweep.rs
@@ -1,5 +1,6 @@
 //! Experiments: variants times days times seeds, in parallel on all cores; and the comparison of two.
 
+use crate::report::bars;
 use crate::run::{keep, play, write, How, Played};
 use crate::stats::{bootstrap, figure, mean, quantile};
 use crate::strategies::Strategy;
@@ -158,7 +159,9 @@
     let seeds = last - first + 1;
     let head = format!("# {}\n\nMeans over {seeds} seeds with 95% bootstrap intervals.\n\n", experiment.name);
     write(&out.join("table.md"), &(head.clone() + &table))?;
-    write(&out.join("chart.svg"), &crate::report::bars(&experiment, &figures)?)?;
+    let metric = experiment.metrics.first().map_or("", String::as_str);
+    let variants: Vec<&str> = experiment.variants.iter().map(|v| v.name.as_str()).collect();
+    write(&out.join("chart.svg"), &bars(&experiment.name, metric, &variants, &figures)?)?;
     Ok(head + &table)
 }
 
