--- /dev/null
+++ b/crates/emulator/src/world/config.rs
@@ -0,0 +1,104 @@
+//! The configuration that a sidecar is started with, in the platform's form.
+
+use super::World;
+use crate::day::{Class, Effect, Limits, Tenant};
+use crate::discovery;
+use crate::fabric::Fabric;
+use crate::plan::{hashed, Plan};
+use serde_json::{json, Value};
+
+/// A time in whole microseconds, from milliseconds.
+fn micros(millis: f64) -> i64 {
+    (millis * 1e3).round() as i64
+}
+
+impl<F: Fabric> World<F> {
+    /// The configuration of a sidecar for its start of this number (0 for the first).
+    pub fn config(&self, sidecar: usize, start: u64) -> Value {
+        let plan = &self.plan;
+        let limits = &plan.day.limits;
+        let (_, moves) = *self.registry.state.borrow();
+        let seed = (hashed(plan.seed, &[43, sidecar as u64, start]) * (1_u64 << 53) as f64) as u64;
+        json!({
+            "name": plan.sidecars[sidecar].name,
+            "listen": self.addresses.listen(sidecar).to_string(),
+            "discovery": self.addresses.discovery(sidecar, moves).to_string(),
+            "seed": format!("{seed:x}"),
+            "limits": {"cores": 1.0, "memory_mb": limits.memory_mb, "sockets": limits.sockets},
+            "known": discovery::told(self, sidecar, None),
+            "settings": settings(plan, sidecar),
+        })
+    }
+}
+
+/// What the platform tells a sidecar of its fleet, its traffic and its obligations.
+fn settings(plan: &Plan, sidecar: usize) -> Value {
+    let day = &plan.day;
+    let classes: Vec<Value> = day.classes.iter().map(request_class).collect();
+    let customers: Vec<Value> = day.tenants.iter().zip(&plan.quotas).map(customer).collect();
+    let how = if day.server.report_in_answers { "inline" } else { "on_probe" };
+    json!({
+        "fleet_size": plan.sidecars.len(),
+        "locality": day.fleet.zones[plan.sidecars[sidecar].zone],
+        "discovery": "on_request",
+        "request_classes": classes,
+        "customers": customers,
+        "over_share_worth": day.load.over_share_worth,
+        "report": {"how": how, "names": ["active", "waiting", "cpu"]},
+        "limits": limits(&day.limits, day.server.idle_s.low),
+        "obligations": obligations(plan),
+        "family_info": {"warm_keys": day.load.keys.high > 0.0},
+        "prices": {"probe": 0.01, "cross_zone": 0.03, "waste": 0.04, "handshake": 0.02},
+        "scoring_mix": {"worst_class": 0.2},
+    })
+}
+
+fn request_class(class: &Class) -> Value {
+    let effect = match class.effect {
+        Effect::Safe => "retryable",
+        Effect::Unsafe => "fragile",
+        Effect::Keyed => "dedup",
+    };
+    json!({
+        "name": class.name,
+        "aim": micros(class.aim_ms),
+        "give_up": micros(class.deadline_ms),
+        "worth": class.worth,
+        "late_worth": 0.0,
+        "effect": effect,
+        "group": class.group,
+        "window": micros(class.window_ms),
+    })
+}
+
+fn customer((tenant, quota): (&Tenant, &f64)) -> Value {
+    json!({"name": tenant.name, "quota_per_s": quota})
+}
+
+/// What a sidecar may do; `idle_s` is how long servers keep an idle connection at least (s).
+fn limits(limits: &Limits, idle_s: f64) -> Value {
+    json!({
+        "probes": limits.probes,
+        "cancel": limits.cancel,
+        "second_copies": limits.second_copies,
+        "max_attempts": limits.max_attempts,
+        "retry_after": limits.max_retry_after_ms > 0.0,
+        "max_retry_after": micros(limits.max_retry_after_ms),
+        "conn_idle": micros(idle_s * 1e3),
+        "connect_timeout": 250_000,
+    })
+}
+
+/// What a sidecar owes, and how cold servers begin.
+fn obligations(plan: &Plan) -> Value {
+    let limits = &plan.day.limits;
+    let colds = plan.servers.iter().map(|s| s.cold);
+    json!({
+        "drain_grace": micros(limits.drain_grace_ms),
+        "must_ask_in": 10_000_000,
+        "grace_to_answer": 50_000,
+        "fall_multiple": limits.fall_multiple,
+        "cold_from": colds.clone().map(|c| c.0).fold(1.0, f64::min),
+        "warm_up": micros(colds.map(|c| c.1).fold(0.0, f64::max)),
+    })
+}
--- /dev/null
+++ b/crates/emulator/src/world/mod.rs
@@ -0,0 +1,235 @@
+//! The world of a day: it starts the sidecars, lets the day happen to them, and ends with its books.
+
+mod addresses;
+mod config;
+mod observers;
+mod servers;
+mod sidecars;
+mod troubles;
+
+pub use addresses::Addresses;
+pub use observers::Sample;
+pub use sidecars::{Sidecars, Signal};
+
+use crate::client;
+use crate::day::TroubleKind;
+use crate::discovery::{self, Registry};
+use crate::fabric::Fabric;
+use crate::fleet::Member;
+use crate::http::Wire;
+use crate::ledger::{Ledger, Regret};
+use crate::plan::{factor, hashed, Plan, TroublePlan};
+use crate::server::Server;
+use servers::server_seed;
+use sidecars::Beside;
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeSet;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::Semaphore;
+use tokio::task::{spawn_local, JoinHandle};
+use tokio::time::Instant;
+
+/// The world of a day.
+pub struct World<F: Fabric> {
+    /// What streams are made of.
+    pub fabric: F,
+    /// The day's draw.
+    pub plan: Plan,
+    /// Where everybody is.
+    pub addresses: Addresses,
+    /// The list.
+    pub registry: Registry,
+    /// The books.
+    pub ledger: RefCell<Ledger>,
+    /// Flows that were never asked for, as their application was down.
+    pub unasked: RefCell<BTreeSet<usize>>,
+    /// The fleet by second.
+    pub samples: RefCell<Vec<Sample>>,
+    origin: Instant,
+    epoch: f64,
+    day_start: Cell<f64>,
+    /// Mean work of the day's requests.
+    mean_work: f64,
+    members: RefCell<Vec<Rc<Member>>>,
+    beside: RefCell<Vec<Beside>>,
+    kept: RefCell<Vec<Vec<Wire<F::Stream>>>>,
+    /// For requests, clients hold at most a third of a sidecar's descriptors.
+    places: Vec<Semaphore>,
+    sidecars: Rc<dyn Sidecars>,
+    draws: Cell<u64>,
+    ending: Cell<bool>,
+}
+
+impl<F: Fabric> World<F> {
+    /// A world at its beginning; `epoch` is the Unix time (ms) that its clocks show then.
+    pub fn new(
+        fabric: F,
+        plan: Plan,
+        addresses: Addresses,
+        epoch: f64,
+        sidecars: Rc<dyn Sidecars>,
+    ) -> Rc<World<F>> {
+        let mean_work = plan.arrivals.iter().map(|a| a.work).sum::<f64>() / plan.arrivals.len().max(1) as f64;
+        let members = plan.servers.iter().enumerate().map(|(n, server)| {
+            let model = Server::new(server.clone(), server_seed(&plan, 41, n), mean_work);
+            Member::new(n, n, model)
+        });
+        let members: Vec<_> = members.collect();
+        let count = plan.sidecars.len();
+        Rc::new(World {
+            fabric,
+            addresses,
+            registry: Registry::default(),
+            ledger: RefCell::default(),
+            unasked: RefCell::default(),
+            samples: RefCell::default(),
+            origin: Instant::now(),
+            epoch,
+            day_start: Cell::new(0.0),
+            mean_work,
+            members: RefCell::new(members),
+            beside: RefCell::new(vec![Beside::default(); count]),
+            kept: RefCell::new((0..count).map(|_| Vec::new()).collect()),
+            places: (0..count).map(|_| Semaphore::new(plan.day.limits.sockets / 3)).collect(),
+            sidecars,
+            draws: Cell::new(0),
+            ending: Cell::new(false),
+            plan,
+        })
+    }
+
+    /// The time: ms since the world began.
+    pub fn now(&self) -> f64 {
+        self.origin.elapsed().as_secs_f64() * 1e3
+    }
+
+    /// A time as the runtime counts it; a hair later, so that it has come when it is waited for.
+    pub fn instant(&self, at: f64) -> Instant {
+        self.origin + Duration::from_secs_f64(at.clamp(0.0, 1e10) / 1e3 + 1e-8)
+    }
+
+    /// Waits until a time.
+    pub async fn until(&self, at: f64) {
+        if at.is_infinite() {
+            return std::future::pending().await;
+        }
+        tokio::time::sleep_until(self.instant(at)).await;
+    }
+
+    /// Waits for so long (ms).
+    pub async fn sleep(&self, millis: f64) {
+        self.until(self.now() + millis).await;
+    }
+
+    /// A time of the day as the world's.
+    pub fn day_at(&self, at: f64) -> f64 {
+        self.day_start.get() + at
+    }
+
+    /// When the day began.
+    pub fn day_start(&self) -> f64 {
+        self.day_start.get()
+    }
+
+    /// A server.
+    pub fn member(&self, number: usize) -> Rc<Member> {
+        self.members.borrow()[number].clone()
+    }
+
+    /// All servers there have been.
+    pub fn members(&self) -> Vec<Rc<Member>> {
+        self.members.borrow().clone()
+    }
+
+    /// One way between a sidecar and a server, this time (ms).
+    pub fn one_way(&self, sidecar: usize, member: &Member) -> f64 {
+        let (same, cross, jitter) = self.plan.network;
+        let near = self.plan.sidecars[sidecar].zone == member.model.borrow().plan.zone;
+        self.draws.set(self.draws.get() + 1);
+        let draw = hashed(self.plan.seed, &[42, self.draws.get()]);
+        (if near { same } else { cross }) * factor(jitter, draw)
+    }
+
+    /// Share of the answers that is spoilt now.
+    pub fn spoilt_share(&self, now: f64) -> f64 {
+        self.active(TroubleKind::Garble, now).map(|t| t.part).sum()
+    }
+
+    fn active(&self, kind: TroubleKind, now: f64) -> impl Iterator<Item = &TroublePlan> {
+        let at = now - self.day_start.get();
+        self.plan.troubles.iter().filter(move |t| t.kind == kind && (t.from..t.until).contains(&at))
+    }
+
+    /// The places that clients have at a sidecar, for requests.
+    pub fn places(&self, sidecar: usize) -> &Semaphore {
+        &self.places[sidecar]
+    }
+
+    /// A client connection that is free.
+    pub fn kept(&self, sidecar: usize) -> Option<Wire<F::Stream>> {
+        self.kept.borrow_mut()[sidecar].pop()
+    }
+
+    /// Keeps a client connection for the next request, as long as the application runs.
+    pub fn keep(&self, sidecar: usize, wire: Wire<F::Stream>) {
+        if self.sidecar_up(sidecar) {
+            self.kept.borrow_mut()[sidecar].push(wire);
+        }
+    }
+
+    /// What the world knows of a request that is being refused at this moment.
+    pub fn regret(&self, flow: usize) -> Regret {
+        let (now, arrival) = (self.now(), &self.plan.arrivals[flow]);
+        let left = self.plan.class(arrival).aim_ms - (now - self.day_at(arrival.at));
+        let (mut best, mut regret) = (f64::INFINITY, Regret::Nobody);
+        for member in self.members.borrow().iter().filter(|m| m.in_service()) {
+            member.touch(now);
+            let model = member.model.borrow();
+            let forecast = model.forecast(arrival.work);
+            if forecast < best {
+                best = forecast;
+                let idle = (model.held() as f64) < model.plan.cores;
+                regret = match (forecast <= left, idle) {
+                    (true, true) => Regret::CoreIdle,
+                    (true, false) => Regret::WouldFit,
+                    (false, _) => Regret::Full,
+                };
+            }
+        }
+        regret
+    }
+
+    /// Plays the day to its end. The error says why it could not begin.
+    pub async fn play(self: &Rc<Self>) -> Result<(), String> {
+        self.open();
+        tokio::task::yield_now().await;
+        self.start_all().await?;
+        self.day_start.set(self.now() + 50.0);
+        let watch = spawn_local(self.clone().watch());
+        let sample = spawn_local(self.clone().sample());
+        let troubles: Vec<_> =
+            (0..self.plan.troubles.len()).map(|t| spawn_local(self.clone().trouble(t))).collect();
+        self.until(self.day_start.get()).await;
+        client::ask(self.clone()).await;
+        self.ending.set(true);
+        let longest = self.plan.day.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
+        self.until(self.day_at(self.plan.day.length_s * 1e3 + longest)).await;
+        sample.abort();
+        self.compare_books().await;
+        watch.abort();
+        troubles.iter().for_each(JoinHandle::abort);
+        self.expect_ends();
+        Ok(())
+    }
+
+    /// Servers and discovery begin to listen.
+    fn open(self: &Rc<Self>) {
+        let members = self.members();
+        self.registry.begin(&members);
+        members.iter().for_each(|member| self.serve(member));
+        for sidecar in 0..self.plan.sidecars.len() {
+            spawn_local(discovery::listen(self.clone(), sidecar));
+        }
+    }
+}
--- /dev/null
+++ b/crates/emulator/src/world/observers.rs
@@ -0,0 +1,124 @@
+//! What is looked at while the day is played and at its end: the sidecars' processes, the fleet, the books.
+
+use super::World;
+use crate::fabric::Fabric;
+use crate::ledger::{Rule, TryEnd};
+use serde::Serialize;
+use std::rc::Rc;
+
+/// How often the sidecars are looked at (ms).
+const LOOK: f64 = 100.0;
+
+/// The fleet in one second.
+#[derive(Clone, Debug, Default, Serialize)]
+pub struct Sample {
+    /// Second of the day.
+    pub second: usize,
+    /// Requests held by each server; negative where it is not in service.
+    pub held: Vec<f64>,
+    /// Servers turned slow.
+    pub slow: usize,
+    /// Capacity in service as a share of the whole fleet's when warm.
+    pub capacity: f64,
+    /// Cores idle in servers that are in service, as a share of theirs.
+    pub idle: f64,
+}
+
+impl<F: Fabric> World<F> {
+    /// Looks at the sidecars: whether they run, and what they hold.
+    pub(super) async fn watch(self: Rc<Self>) {
+        loop {
+            self.sleep(LOOK).await;
+            for sidecar in 0..self.plan.sidecars.len() {
+                self.look_at(sidecar);
+            }
+        }
+    }
+
+    fn look_at(&self, sidecar: usize) {
+        let limits = &self.plan.day.limits;
+        let (descriptors, memory) = self.sidecars.holds(sidecar);
+        if let Some(held) = descriptors {
+            self.ledger.borrow_mut().holds(self.now(), sidecar, held, limits.sockets);
+        }
+        if let Some(mb) = memory.filter(|mb| *mb > limits.memory_mb) {
+            self.broke(Rule::Memory, sidecar, format!("{mb:.1} of {} MB", limits.memory_mb));
+        }
+        let meant = self.beside.borrow()[sidecar].meant;
+        if meant && self.sidecars.ended(sidecar) {
+            self.broke(Rule::Crash, sidecar, "it ended".into());
+            self.kill(sidecar);
+        }
+    }
+
+    /// Books a rule that a sidecar breaks now, on no flow of its own.
+    fn broke(&self, rule: Rule, sidecar: usize, what: String) {
+        self.ledger.borrow_mut().broke(self.now(), rule, Some(sidecar), None, what);
+    }
+
+    /// Takes a sample each second of the day.
+    pub(super) async fn sample(self: Rc<Self>) {
+        for second in 0.. {
+            self.until(self.day_at(second as f64 * 1e3 + 500.0)).await;
+            let sample = self.sample_of(second);
+            self.samples.borrow_mut().push(sample);
+        }
+    }
+
+    fn sample_of(&self, second: usize) -> Sample {
+        let whole = self.plan.capacity();
+        let mut sample = Sample { second, ..Sample::default() };
+        let (mut cores, mut idle) = (0.0, 0.0);
+        for member in self.members() {
+            member.touch(self.now());
+            let up = member.in_service();
+            let model = member.model.borrow();
+            let held = model.held() as f64;
+            sample.held.push(if up { held } else { -1.0 });
+            if up {
+                sample.slow += usize::from(model.slow());
+                sample.capacity += model.capacity() / whole;
+                cores += model.plan.cores;
+                idle += (model.plan.cores - held).max(0.0);
+            }
+        }
+        sample.idle = if cores > 0.0 { idle / cores } else { 0.0 };
+        sample
+    }
+
+    /// Holds the sidecars' books against the emulator's.
+    pub(super) async fn compare_books(&self) {
+        for sidecar in 0..self.plan.sidecars.len() {
+            if self.started(sidecar) != 1 || !self.sidecar_up(sidecar) {
+                continue;
+            }
+            let Some(answer) = self.call(sidecar, "/health/counters").await else { continue };
+            let text = String::from_utf8_lossy(&answer.body).into_owned();
+            for what in self.book_faults(sidecar, &text) {
+                self.broke(Rule::Books, sidecar, what);
+            }
+        }
+    }
+
+    /// Where a sidecar's counters differ from what its clients saw.
+    fn book_faults(&self, sidecar: usize, text: &str) -> Vec<String> {
+        let (mut taken, mut served, mut refused) = (0, 0, 0);
+        let ledger = self.ledger.borrow();
+        let of_sidecar =
+            ledger.tries.iter().filter(|t| self.plan.arrivals[t.flow].sidecar == sidecar && t.taken);
+        for one in of_sidecar {
+            taken += 1;
+            served += u64::from(one.end == TryEnd::Served);
+            refused += u64::from(matches!(one.end, TryEnd::Refused(_)));
+        }
+        let pairs = [("flows_taken", taken), ("flows_served", served), ("flows_refused", refused)];
+        let differ = pairs.into_iter().filter(|(name, books)| counter(text, name) != *books);
+        differ.map(|(name, books)| format!("{name} {} there, {books} here", counter(text, name))).collect()
+    }
+}
+
+/// A counter in a sidecar's text of them; 0 where it is absent or no number.
+fn counter(text: &str, name: &str) -> u64 {
+    let line = text.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(' '));
+    line.and_then(|v| v.trim().parse().ok()).unwrap_or(0)
+}
--- /dev/null
+++ b/crates/emulator/src/world/servers.rs
@@ -0,0 +1,71 @@
+//! Servers that start, drain, go and are replaced, and what the list is told of them.
+
+use super::World;
+use crate::day::TroubleKind;
+use crate::discovery::Said;
+use crate::fabric::Fabric;
+use crate::fleet::{self, Member};
+use crate::plan::{hashed, Plan};
+use crate::server::{Phase, Server};
+use std::rc::Rc;
+use tokio::task::spawn_local;
+
+/// How long a drained server stays at most (ms).
+const DRAIN: f64 = 4_000.0;
+
+/// Seed of a server's own chances; `purpose` tells those of the beginning from those added later.
+pub(super) fn server_seed(plan: &Plan, purpose: u64, number: usize) -> u64 {
+    (hashed(plan.seed, &[purpose, number as u64]) * 1e15) as u64
+}
+
+impl<F: Fabric> World<F> {
+    /// Announces something to the list: it shows there after its delay, and later while the list is stale.
+    pub(super) fn announce(self: &Rc<Self>, server: usize, said: Said, delay: f64) {
+        let number = self.registry.announce(server);
+        let world = self.clone();
+        let up_since = self.epoch + self.now();
+        spawn_local(async move {
+            let stale: f64 = world.active(TroubleKind::Stale, world.now()).map(|t| t.size * 1e3).sum();
+            world.sleep(delay + stale).await;
+            if world.registry.apply(server, number, said, up_since) {
+                world.ledger.borrow_mut().list_has(world.now(), server, said == Said::InService);
+            }
+        });
+    }
+
+    /// A server's process starts, cold.
+    pub(super) fn start_server(self: &Rc<Self>, member: &Rc<Member>) {
+        self.draws.set(self.draws.get() + 1);
+        member.start(self.now(), self.draws.get());
+        self.announce(member.number, Said::InService, self.plan.discovery.add);
+    }
+
+    /// A server drains and goes.
+    pub(super) async fn drain(self: &Rc<Self>, member: &Rc<Member>) {
+        member.with(self.now(), |m| m.phase = Phase::Draining);
+        self.announce(member.number, Said::Terminating, self.plan.discovery.notice);
+        let until = self.now() + DRAIN.max(self.plan.discovery.notice + 2_000.0);
+        self.until(until).await;
+        member.die(self.now());
+        self.announce(member.number, Said::Terminated, self.plan.discovery.notice);
+    }
+
+    /// A new server with a new id, at its own address or at that of one that has gone.
+    pub(super) fn add_server(self: &Rc<Self>, zone: usize, place: Option<usize>) {
+        let number = self.members.borrow().len();
+        let plan = self.plan.replacement(number - self.plan.servers.len(), zone);
+        let model = Server::new(plan, server_seed(&self.plan, 44, number), self.mean_work);
+        let member = Member::new(number, place.unwrap_or(number), model);
+        self.members.borrow_mut().push(member.clone());
+        member.with(self.now(), |m| m.start(self.now()));
+        self.serve(&member);
+        self.announce(number, Said::InService, self.plan.discovery.add);
+    }
+
+    pub(super) fn serve(self: &Rc<Self>, member: &Rc<Member>) {
+        spawn_local(fleet::keep_going(self.clone(), member.clone()));
+        for sidecar in 0..self.plan.sidecars.len() {
+            spawn_local(fleet::listen(self.clone(), member.clone(), sidecar));
+        }
+    }
+}
--- /dev/null
+++ b/crates/emulator/src/world/troubles.rs
@@ -0,0 +1,178 @@
+//! What goes wrong on the day, played at its time.
+
+use super::World;
+use crate::day::TroubleKind;
+use crate::discovery::Said;
+use crate::fabric::Fabric;
+use crate::fleet::{Fate, Member};
+use crate::plan::{hashed, TroublePlan};
+use crate::rude;
+use std::rc::Rc;
+use tokio::task::spawn_local;
+
+impl<F: Fabric> World<F> {
+    /// Plays one trouble.
+    pub(super) async fn trouble(self: Rc<Self>, number: usize) {
+        let trouble = self.plan.troubles[number].clone();
+        self.until(self.day_at(trouble.from)).await;
+        let until = self.day_at(trouble.until);
+        let some = ((trouble.order.len() as f64 * trouble.part).ceil() as usize).min(trouble.order.len());
+        let met = &trouble.order[..some];
+        match trouble.kind {
+            // They lie in the arrivals, the answers and the list.
+            TroubleKind::Burst | TroubleKind::Garble | TroubleKind::Stale => {}
+            TroubleKind::Pauses => self.pauses(&trouble, number, met, until).await,
+            TroubleKind::Slow => {
+                self.slow(met, trouble.size.max(1.0));
+                self.until(until).await;
+                self.slow(met, 1.0);
+            }
+            TroubleKind::ZoneLoss => {
+                let all = self.members();
+                let lost = all.into_iter().filter(|m| m.model.borrow().plan.zone == trouble.zone).collect();
+                self.lose(&trouble, lost, until).await;
+            }
+            TroubleKind::Vanish => {
+                let lost = met.iter().map(|s| self.member(*s)).collect();
+                self.lose(&trouble, lost, until).await;
+            }
+            TroubleKind::Shrink => self.shrink(&trouble, met).await,
+            TroubleKind::DiscoveryDown => {
+                let (_, moves) = *self.registry.state.borrow();
+                self.registry.state.send_replace((false, moves));
+                self.until(until).await;
+                self.registry.state.send_replace((true, moves));
+            }
+            TroubleKind::Churn => self.churn(&trouble, until).await,
+            TroubleKind::Rude => {
+                for sidecar in met {
+                    spawn_local(rude::annoy(self.clone(), *sidecar, trouble.size, until));
+                }
+            }
+            TroubleKind::Reload => self.reload(&trouble).await,
+            TroubleKind::Restart => {
+                for sidecar in met {
+                    self.restart(*sidecar).await;
+                }
+            }
+            TroubleKind::Kill => self.kill_some(&trouble, met).await,
+            TroubleKind::ServersRestart => self.restart_servers().await,
+        }
+    }
+
+    /// Servers stand still again and again.
+    async fn pauses(&self, trouble: &TroublePlan, number: usize, met: &[usize], until: f64) {
+        let draw = |round: u64| hashed(self.plan.seed, &[45, number as u64, round]);
+        let mut round = 0;
+        while self.now() < until {
+            for server in met {
+                let now = self.now();
+                self.member(*server).with(now, |m| m.pause(now + trouble.size));
+            }
+            round += 1;
+            self.sleep(800.0 + 1_200.0 * draw(round)).await;
+        }
+    }
+
+    /// Servers work so many times slower.
+    fn slow(&self, met: &[usize], times: f64) {
+        for server in met {
+            self.member(*server).with(self.now(), |m| m.slowed = times);
+        }
+    }
+
+    /// Servers drain one after another.
+    async fn shrink(self: &Rc<Self>, trouble: &TroublePlan, met: &[usize]) {
+        let step = (trouble.until - trouble.from) / met.len().max(1) as f64;
+        for server in met {
+            let (world, member) = (self.clone(), self.member(*server));
+            spawn_local(async move { world.drain(&member).await });
+            self.sleep(step).await;
+        }
+    }
+
+    /// The configuration is replaced and discovery moves, again and again.
+    async fn reload(&self, trouble: &TroublePlan) {
+        let times = trouble.size.max(1.0) as usize;
+        let step = (trouble.until - trouble.from) / times as f64;
+        for _ in 0..times {
+            let (runs, moves) = *self.registry.state.borrow();
+            self.registry.state.send_replace((runs, moves + 1));
+            self.reload_sidecars();
+            self.sleep(step).await;
+        }
+    }
+
+    /// Sidecars are killed one after another, and each starts again later.
+    async fn kill_some(self: &Rc<Self>, trouble: &TroublePlan, met: &[usize]) {
+        for sidecar in met.iter().filter(|s| self.sidecar_up(**s)) {
+            let (world, sidecar, after) = (self.clone(), *sidecar, trouble.size * 1e3);
+            world.kill(sidecar);
+            spawn_local(async move {
+                world.sleep(after).await;
+                world.begin_again(sidecar).await;
+            });
+            self.sleep((trouble.until - trouble.from) / met.len().max(1) as f64).await;
+        }
+    }
+
+    /// All servers go at once and start again a second later.
+    async fn restart_servers(self: &Rc<Self>) {
+        let members = self.members();
+        let up: Vec<_> = members.iter().filter(|m| m.in_service()).cloned().collect();
+        up.iter().for_each(|m| m.die(self.now()));
+        self.sleep(1_000.0).await;
+        up.iter().for_each(|m| self.start_server(m));
+    }
+
+    /// Servers go silent or are reset; with a zone its sidecars may go too. All come back cold.
+    async fn lose(self: &Rc<Self>, trouble: &TroublePlan, lost: Vec<Rc<Member>>, until: f64) {
+        let lost: Vec<_> = lost.into_iter().filter(|m| m.in_service()).collect();
+        for member in &lost {
+            if trouble.silent {
+                member.fate.send_replace(Fate::Cut);
+            } else {
+                member.die(self.now());
+            }
+            self.announce(member.number, Said::Terminated, self.plan.discovery.silent_notice);
+        }
+        let beside = (0..self.plan.sidecars.len()).filter(|s| {
+            trouble.sidecars && self.plan.sidecars[*s].zone == trouble.zone && self.sidecar_up(*s)
+        });
+        let beside: Vec<usize> = beside.collect();
+        beside.iter().for_each(|s| self.kill(*s));
+        self.until(until).await;
+        for member in &lost {
+            // What was cut off has started anew meanwhile.
+            member.die(self.now());
+            self.start_server(member);
+        }
+        for sidecar in beside {
+            let world = self.clone();
+            spawn_local(async move { world.begin_again(sidecar).await });
+        }
+    }
+
+    async fn churn(self: &Rc<Self>, trouble: &TroublePlan, until: f64) {
+        let step = 60_000.0 / trouble.size.max(0.1);
+        let mut round = 0;
+        while self.now() + step < until {
+            let up: Vec<_> = self.members().into_iter().filter(|m| m.in_service()).collect();
+            let Some(oldest) = up.first().cloned() else { return };
+            let zone = oldest.model.borrow().plan.zone;
+            let same_place = round % 2 == 1;
+            let world = self.clone();
+            spawn_local(async move {
+                if !same_place {
+                    world.add_server(zone, None);
+                }
+                world.drain(&oldest).await;
+                if same_place {
+                    world.add_server(zone, Some(oldest.place));
+                }
+            });
+            round += 1;
+            self.sleep(step).await;
+        }
+    }
+}
