--- /dev/null
+++ b/crates/emulator/src/day/checks.rs
@@ -0,0 +1,103 @@
+//! What of a day can't be played, each fault with its key.
+
+use super::{Class, Day, Kind, Trouble};
+
+/// The faults found so far.
+#[derive(Default)]
+struct Faults(Vec<String>);
+
+impl Faults {
+    /// Notes a fault where something is not fine.
+    fn want(&mut self, fine: bool, say: impl Into<String>) {
+        if !fine {
+            self.0.push(say.into());
+        }
+    }
+
+    /// Checks the shares of a list.
+    fn shares(&mut self, key: &str, shares: impl Iterator<Item = f64>) {
+        let shares: Vec<f64> = shares.collect();
+        self.want(!shares.is_empty(), format!("{key}: there is none"));
+        let fine = shares.iter().all(|s| *s >= 0.0) && shares.iter().sum::<f64>() > 0.0;
+        self.want(fine, format!("{key}: shares are negative or sum to 0"));
+    }
+
+    fn fleet(&mut self, day: &Day) {
+        let fleet = &day.fleet;
+        let servers = fleet.servers;
+        self.want((1..=200).contains(&servers), format!("fleet.servers is not from 1 to 200: {servers}"));
+        let sidecars = fleet.sidecars;
+        let fine = (1..=20_000).contains(&sidecars);
+        self.want(fine, format!("fleet.sidecars is not from 1 to 20000: {sidecars}"));
+        self.want(!fleet.zones.is_empty(), "fleet.zones names none");
+        self.want(fleet.cell_size > 0, "fleet.cell_size is 0");
+    }
+
+    fn kind(&mut self, kind: &Kind) {
+        let key = format!("kind {}", kind.name);
+        self.want(kind.cores >= 1.0, format!("{key}: cores is below 1: {}", kind.cores));
+        self.want(kind.speed.low > 0.0, format!("{key}: speed is not above 0"));
+        self.want(kind.slots_per_core.low >= 1.0, format!("{key}: slots_per_core is below 1"));
+        let cold = kind.cold_from;
+        let fine = cold.low > 0.0 && cold.high <= 1.0;
+        self.want(fine, format!("{key}: cold_from is not above 0 and up to 1"));
+    }
+
+    fn class(&mut self, class: &Class) {
+        let key = format!("class {}", class.name);
+        let word = class.name.chars().all(|c| c.is_ascii_alphanumeric() || c == '-');
+        let named = word && !class.name.is_empty();
+        self.want(named, format!("{key}: name is not made of letters, digits and -"));
+        self.want(class.work_ms.low > 0.0, format!("{key}: work_ms is not above 0"));
+        self.want(class.aim_ms > 0.0, format!("{key}: aim_ms is not above 0: {}", class.aim_ms));
+        let deadline = class.deadline_ms;
+        self.want(deadline >= class.aim_ms, format!("{key}: deadline_ms is below aim_ms: {deadline}"));
+        let window = class.window_ms;
+        self.want(window > 0.0, format!("{key}: window_ms is not above 0: {window}"));
+    }
+
+    fn limits_and_load(&mut self, day: &Day) {
+        let sockets = day.limits.sockets;
+        self.want(sockets >= 64, format!("limits.sockets is below 64: {sockets}"));
+        self.want(day.limits.max_attempts >= 1, "limits.max_attempts is 0");
+        self.want(day.discovery.calls_per_s.low > 0.0, "discovery.calls_per_s is not above 0");
+        self.want(day.load.of_capacity.low > 0.0, "load.of_capacity is not above 0");
+        let rate = day.load.rate.is_none_or(|r| r > 0.0 && r <= 1e5);
+        self.want(rate, "load.rate is not above 0 and up to 100000");
+        let share = day.clients.try_share;
+        self.want(share.low > 0.0 && share.high <= 1.0, "clients.try_share is not above 0 and up to 1");
+    }
+
+    fn trouble(&mut self, number: usize, trouble: &Trouble, zones: usize) {
+        let key = format!("trouble {} ({:?})", number + 1, trouble.kind);
+        self.want(trouble.at_s.low >= 0.0, format!("{key}: at_s is negative"));
+        self.want(trouble.len_s.low >= 0.0, format!("{key}: len_s is negative"));
+        self.want(trouble.size.low >= 0.0, format!("{key}: size is negative"));
+        let part = trouble.part;
+        self.want(part.low >= 0.0 && part.high <= 1.0, format!("{key}: part is not from 0 to 1"));
+        let zone = trouble.zone.unwrap_or(0);
+        self.want(zone < zones, format!("{key}: zone {zone} is not there"));
+    }
+}
+
+impl Day {
+    /// Everything in it that can't be played.
+    pub fn faults(&self) -> Vec<String> {
+        let mut faults = Faults::default();
+        faults.want(!self.name.is_empty(), "name is empty");
+        let length = self.length_s;
+        let fine = (1.0..=3600.0).contains(&length);
+        faults.want(fine, format!("length_s is not from 1 to 3600: {length}"));
+        faults.fleet(self);
+        faults.shares("kind.share", self.kinds.iter().map(|k| k.share));
+        faults.shares("class.share", self.classes.iter().map(|c| c.share));
+        faults.shares("tenant.share", self.tenants.iter().map(|t| t.share));
+        self.kinds.iter().for_each(|kind| faults.kind(kind));
+        self.classes.iter().for_each(|class| faults.class(class));
+        faults.limits_and_load(self);
+        for (number, trouble) in self.troubles.iter().enumerate() {
+            faults.trouble(number, trouble, self.fleet.zones.len());
+        }
+        faults.0
+    }
+}
--- /dev/null
+++ b/crates/emulator/src/day/mod.rs
@@ -0,0 +1,101 @@
+//! Days as files: TOML, every figure a plain value or a range, unknown keys refused.
+
+mod checks;
+mod defaults;
+mod figures;
+mod fleet;
+mod range;
+mod traffic;
+mod trouble;
+
+pub use fleet::{Cancel, Fleet, Kind, ServerFigures};
+pub use range::Range;
+pub use traffic::{Class, Clients, Discovery, Effect, Group, Limits, Load, Network, Tenant};
+pub use trouble::{Trouble, TroubleKind};
+
+use serde::Deserialize;
+use std::path::Path;
+
+/// A day.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Day {
+    /// Its name, as tables show it.
+    pub name: String,
+    /// What it is for, in a sentence.
+    #[serde(default)]
+    pub about: String,
+    /// For all draws, where the command line names no other.
+    #[serde(default = "defaults::one")]
+    pub seed: u64,
+    /// How long clients ask (s).
+    #[serde(default = "defaults::minute")]
+    pub length_s: f64,
+    /// How many there are of everything, and where.
+    #[serde(default)]
+    pub fleet: Fleet,
+    /// Machine kinds.
+    #[serde(default = "defaults::kinds", rename = "kind")]
+    pub kinds: Vec<Kind>,
+    /// What holds for all servers.
+    #[serde(default)]
+    pub server: ServerFigures,
+    /// What clients ask for.
+    #[serde(default)]
+    pub load: Load,
+    /// Request classes.
+    #[serde(default = "defaults::classes", rename = "class")]
+    pub classes: Vec<Class>,
+    /// Who shares the fleet.
+    #[serde(default = "defaults::tenants", rename = "tenant")]
+    pub tenants: Vec<Tenant>,
+    /// How clients behave.
+    #[serde(default)]
+    pub clients: Clients,
+    /// How discovery behaves.
+    #[serde(default)]
+    pub discovery: Discovery,
+    /// How the network behaves.
+    #[serde(default)]
+    pub network: Network,
+    /// What sidecars may do and hold.
+    #[serde(default)]
+    pub limits: Limits,
+    /// What goes wrong, and when.
+    #[serde(default, rename = "trouble")]
+    pub troubles: Vec<Trouble>,
+}
+
+/// Why a day can't be played: all faults at once, each with its key.
+#[derive(Debug, thiserror::Error)]
+pub enum Faulty {
+    /// The file can't be read.
+    #[error("{0}: {1}")]
+    Unreadable(String, std::io::Error),
+    /// It is no day.
+    #[error("{0}: {1}")]
+    Unparsable(String, toml::de::Error),
+    /// Its figures can't be played.
+    #[error("{0}: {list}", list = .1.join("; "))]
+    Impossible(String, Vec<String>),
+}
+
+impl Day {
+    /// Reads a file.
+    pub fn load(path: &Path) -> Result<Day, Faulty> {
+        let name = path.display().to_string();
+        let text = std::fs::read_to_string(path).map_err(|e| Faulty::Unreadable(name.clone(), e))?;
+        Day::read(&name, &text)
+    }
+
+    /// Reads a day's text; `name` stands in the faults.
+    pub fn read(name: &str, text: &str) -> Result<Day, Faulty> {
+        let day: Day = toml::from_str(text).map_err(|e| Faulty::Unparsable(name.into(), e))?;
+        let faults = day.faults();
+        if faults.is_empty() {
+            Ok(day)
+        } else {
+            Err(Faulty::Impossible(name.into(), faults))
+        }
+    }
+}
--- /dev/null
+++ b/crates/emulator/src/plan/arrivals.rs
@@ -0,0 +1,177 @@
+//! Arrivals: a Poisson stream whose rate swings and bursts, drawn before the day begins.
+
+use super::random::{pick, Draws, Purpose};
+use super::servers::{capacity_of, ServerPlan, SidecarPlan};
+use super::troubles::TroublePlan;
+use crate::day::{Class, Day, TroubleKind};
+use rand::Rng;
+use rand_distr::{Distribution, Exp, LogNormal, Zipf};
+use std::f64::consts::TAU;
+
+/// A request that will be asked for.
+#[derive(Clone, Debug)]
+pub struct Arrival {
+    /// When (ms).
+    pub at: f64,
+    /// At which sidecar.
+    pub sidecar: usize,
+    /// Its class.
+    pub class: usize,
+    /// Its tenant.
+    pub tenant: usize,
+    /// Its key.
+    pub key: Option<u64>,
+    /// Its work (ms of a standard core).
+    pub work: f64,
+    /// Whether it is beyond its tenant's share.
+    pub over_share: bool,
+    /// What it is worth.
+    pub worth: f64,
+}
+
+/// Distribution of a class's work: lognormal with its mean and spread.
+fn works(class: &Class, d: &mut Draws) -> LogNormal<f64> {
+    let (mean, cv) = (d.of(class.work_ms), d.of(class.cv).max(0.01));
+    let sigma = (1.0 + cv * cv).ln().sqrt();
+    let fallback = LogNormal::new(0.0, 1.0).unwrap_or_else(|_| unreachable!("a spread of 1 is one"));
+    LogNormal::new(mean.ln() - sigma * sigma / 2.0, sigma).unwrap_or(fallback)
+}
+
+/// The rate of arrivals over the day.
+struct Rate<'a> {
+    /// Requests a second, without swing and bursts.
+    base: f64,
+    swing: f64,
+    phase: f64,
+    /// Length of the day (ms).
+    length: f64,
+    bursts: Vec<&'a TroublePlan>,
+}
+
+impl<'a> Rate<'a> {
+    /// Draws it; `most` is what the warm fleet could do (requests a second).
+    fn draw(day: &Day, most: f64, troubles: &'a [TroublePlan], d: &mut Draws) -> Rate<'a> {
+        let base = day.load.rate.unwrap_or(most * d.of(day.load.of_capacity));
+        let (swing, phase) = (d.of(day.load.swing), d.0.random::<f64>());
+        let bursts = troubles.iter().filter(|t| t.kind == TroubleKind::Burst).collect();
+        Rate { base, swing, phase, length: day.length_s * 1e3, bursts }
+    }
+
+    /// Requests a second at a time of the day (ms).
+    fn at(&self, at: f64) -> f64 {
+        let slow = 1.0 + self.swing * (TAU * (at / self.length + self.phase)).sin();
+        let burst = self.bursts.iter().filter(|b| (b.from..b.until).contains(&at)).map(|b| b.size);
+        self.base * slow * burst.product::<f64>()
+    }
+
+    /// A rate that it never exceeds (requests a second).
+    fn peak(&self) -> f64 {
+        self.base * (1.0 + self.swing) * self.bursts.iter().map(|b| b.size.max(1.0)).product::<f64>()
+    }
+}
+
+/// The tenants' quotas, as token buckets that hold a second's worth.
+struct Quotas {
+    /// Requests a second.
+    rates: Vec<f64>,
+    /// Tokens saved, and when they were counted (ms).
+    buckets: Vec<(f64, f64)>,
+}
+
+impl Quotas {
+    /// Divides a total (requests a second) by the tenants' shares.
+    fn new(day: &Day, total: f64) -> Quotas {
+        let sum: f64 = day.tenants.iter().map(|t| t.share).sum();
+        let rates: Vec<f64> = day.tenants.iter().map(|t| t.share / sum * total).collect();
+        let buckets = rates.iter().map(|rate| (*rate, 0.0)).collect();
+        Quotas { rates, buckets }
+    }
+
+    /// Takes a token of a tenant; true where it has none left.
+    fn exceeded(&mut self, tenant: usize, at: f64) -> bool {
+        let rate = self.rates[tenant];
+        let (saved, since) = &mut self.buckets[tenant];
+        *saved = (*saved + (at - *since) / 1e3 * rate).min(rate.max(1.0));
+        *since = at;
+        let exceeded = *saved < 1.0;
+        if !exceeded {
+            *saved -= 1.0;
+        }
+        exceeded
+    }
+}
+
+/// The shares by which an arrival's class, tenant, sidecar and key are drawn.
+struct Mix {
+    classes: Vec<f64>,
+    tenants: Vec<f64>,
+    sidecars: Vec<f64>,
+    works: Vec<LogNormal<f64>>,
+    keys: Option<Zipf<f64>>,
+}
+
+/// Mean work of the day's requests before its draw (ms of a standard core).
+fn mean_work(day: &Day) -> f64 {
+    let sum: f64 = day.classes.iter().map(|c| c.share).sum();
+    day.classes.iter().map(|c| c.share / sum * (c.work_ms.low + c.work_ms.high) / 2.0).sum()
+}
+
+/// Draws the share of the traffic that each tenant uses.
+fn tenant_use(day: &Day, d: &mut Draws) -> Vec<f64> {
+    let sum: f64 = day.tenants.iter().map(|t| t.share).sum();
+    let used: Vec<f64> = day.tenants.iter().map(|t| t.share / sum * d.of(t.usage)).collect();
+    let used_sum: f64 = used.iter().sum();
+    used.iter().map(|u| u / used_sum).collect()
+}
+
+/// Draws the popularity of the keys; `None` where the day has none.
+fn popularity(day: &Day, d: &mut Draws) -> Option<Zipf<f64>> {
+    let keys = d.of(day.load.keys).round();
+    let popularity = Zipf::new(keys.max(1.0), d.of(day.load.key_zipf)).ok();
+    popularity.filter(|_| keys >= 1.0)
+}
+
+impl Mix {
+    fn arrival(&self, day: &Day, at: f64, quotas: &mut Quotas, d: &mut Draws) -> Arrival {
+        let class = pick(self.classes.iter().copied(), d.0.random());
+        let tenant = pick(self.tenants.iter().copied(), d.0.random());
+        let sidecar = pick(self.sidecars.iter().copied(), d.0.random());
+        let key = self.keys.map(|keys| keys.sample(&mut d.0) as u64);
+        let over_share = quotas.exceeded(tenant, at);
+        let worth = day.classes[class].worth * if over_share { day.load.over_share_worth } else { 1.0 };
+        let work = self.works[class].sample(&mut d.0).clamp(1.0, 10_000.0);
+        Arrival { at, sidecar, class, tenant, key, work, over_share, worth }
+    }
+}
+
+/// Draws the tenants' quotas (requests a second) and every arrival of the day, thinned from the peak rate.
+pub(super) fn arrivals(
+    day: &Day,
+    seed: u64,
+    servers: &[ServerPlan],
+    sidecars: &[SidecarPlan],
+    troubles: &[TroublePlan],
+) -> (Vec<f64>, Vec<Arrival>) {
+    // The order of the draws is part of every day.
+    let mut d = Draws::new(seed, Purpose::Arrivals);
+    let tenants = tenant_use(day, &mut d);
+    let works = day.classes.iter().map(|c| works(c, &mut d)).collect();
+    let most = capacity_of(servers) / mean_work(day) * 1e3;
+    let rate = Rate::draw(day, most, troubles, &mut d);
+    let keys = popularity(day, &mut d);
+    let mut quotas = Quotas::new(day, d.of(day.load.quota_of_capacity) * most);
+    let class_sum: f64 = day.classes.iter().map(|c| c.share).sum();
+    let classes = day.classes.iter().map(|c| c.share / class_sum).collect();
+    let mix = Mix { classes, tenants, sidecars: sidecars.iter().map(|s| s.share).collect(), works, keys };
+    let mut arrivals = Vec::new();
+    let peak = rate.peak();
+    let Ok(gaps) = Exp::new(peak / 1e3) else { return (quotas.rates, arrivals) };
+    let mut at = gaps.sample(&mut d.0);
+    while at < rate.length {
+        if d.0.random::<f64>() * peak < rate.at(at) {
+            arrivals.push(mix.arrival(day, at, &mut quotas, &mut d));
+        }
+        at += gaps.sample(&mut d.0);
+    }
+    (quotas.rates, arrivals)
+}
--- /dev/null
+++ b/crates/emulator/src/plan/servers.rs
@@ -0,0 +1,151 @@
+//! Config servers and sidecars as a draw has them.
+
+use super::random::{factor, spread, Draws, Purpose};
+use crate::day::{Cancel, Day};
+use rand::Rng;
+
+/// A config server.
+#[derive(Clone, Debug)]
+pub struct ServerPlan {
+    /// Its id in the list.
+    pub id: String,
+    /// Its zone.
+    pub zone: usize,
+    /// Its cell.
+    pub cell: u64,
+    /// The name of its kind.
+    pub kind: String,
+    /// The size that the list states.
+    pub size: f64,
+    /// Cores.
+    pub cores: f64,
+    /// Speed of a core.
+    pub speed: f64,
+    /// Requests in work at a time.
+    pub slots: usize,
+    /// Requests that wait beyond that.
+    pub queue: usize,
+    /// Loss of efficiency, and from how many held on.
+    pub thrash: (f64, f64),
+    /// Share of its capacity when it starts, time (ms) and requests until it is warm.
+    pub cold: (f64, f64, f64),
+    /// Time between short pauses and their length (ms).
+    pub pause: (f64, f64),
+    /// Share of errors.
+    pub error_rate: f64,
+    /// What a hang-up drops.
+    pub cancel: Cancel,
+    /// Connections accepted, and the capacity that a full table takes.
+    pub conns: (usize, f64),
+    /// Work of a handshake (ms) and its round trips.
+    pub handshake: (f64, f64),
+    /// Idle time of a connection (ms).
+    pub idle: f64,
+    /// Work of a probe (ms), how many at a time, and whether they queue.
+    pub probe: (f64, usize, bool),
+    /// Period, delay (ms) and noise of the figures in reports.
+    pub report: (f64, f64, f64),
+    /// Work saved by a key met lately, for how long (ms), and how many are remembered.
+    pub keys: (f64, f64, usize),
+    /// How it turns slow when crowded; `None`: never.
+    pub choke: Option<Choke>,
+}
+
+/// How a crowded server turns slow, and recovers.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Choke {
+    /// Requests waiting.
+    pub at: f64,
+    /// For so long (ms).
+    pub over: f64,
+    /// Times slower.
+    pub slower: f64,
+    /// Busy share of its cores under which it rests.
+    pub below: f64,
+    /// For so long (ms).
+    pub rest: f64,
+    /// Recovered after this in any case (ms).
+    pub most: f64,
+}
+
+/// A sidecar and its application.
+#[derive(Clone, Debug)]
+pub struct SidecarPlan {
+    /// Its name.
+    pub name: String,
+    /// Its zone.
+    pub zone: usize,
+    /// Its share of the traffic.
+    pub share: f64,
+}
+
+/// Draws a server of the day's kinds.
+pub(super) fn server(day: &Day, d: &mut Draws, number: usize, zone: usize, kind: usize) -> ServerPlan {
+    let (k, s) = (&day.kinds[kind], &day.server);
+    let speed = d.of(k.speed) * factor(d.of(k.speed_cv), d.0.random());
+    let cores = k.cores;
+    ServerPlan {
+        id: format!("s-{:08x}", d.0.random::<u32>()),
+        zone,
+        cell: (number / day.fleet.cell_size) as u64 * 16 + zone as u64,
+        kind: k.name.clone(),
+        size: (cores * speed * factor(d.of(day.fleet.size_noise), d.0.random()) * 10.0).round() / 10.0,
+        cores,
+        speed,
+        slots: (d.of(k.slots_per_core) * cores).round() as usize,
+        queue: (d.of(k.queue_per_core) * cores).round() as usize,
+        thrash: (d.of(k.thrash), d.of(k.thrash_at)),
+        cold: (d.of(k.cold_from), d.of(k.cold_s) * 1e3, d.of(k.warm_requests)),
+        pause: (d.of(k.pause_every_s) * 1e3, d.of(k.pause_ms)),
+        error_rate: d.of(k.error_rate),
+        cancel: k.cancel,
+        conns: ((d.of(s.conns_per_core) * cores) as usize, d.of(s.full_tax)),
+        handshake: (d.of(s.handshake_ms), d.of(s.handshake_rtts).round()),
+        idle: d.of(s.idle_s) * 1e3,
+        probe: (d.of(s.probe_ms), (d.of(s.probes_per_core) * cores).ceil() as usize, s.probe_deep),
+        report: (d.of(s.report_period_ms), d.of(s.report_delay_ms), d.of(s.report_noise)),
+        keys: (d.of(s.key_gain), d.of(s.key_s) * 1e3, (d.of(s.keys_per_core) * cores) as usize),
+        choke: Some(Choke {
+            at: d.of(s.choke_at) * cores,
+            over: d.of(s.choke_over_s) * 1e3,
+            slower: d.of(s.choke_slower),
+            below: d.of(s.choke_below),
+            rest: d.of(s.choke_rest_s) * 1e3,
+            most: d.of(s.choke_most_s) * 1e3,
+        })
+        .filter(|c| c.at > 0.0),
+    }
+}
+
+/// Draws the servers that the day begins with.
+pub(super) fn servers(day: &Day, seed: u64) -> Vec<ServerPlan> {
+    let zones = day.fleet.zones.len();
+    let mut d = Draws::new(seed, Purpose::Fleet);
+    let skew = d.of(day.fleet.zone_skew);
+    let places = spread(day.fleet.servers, &d.shares(zones, skew));
+    let kinds: Vec<f64> = day.kinds.iter().map(|k| k.share).collect();
+    let sum: f64 = kinds.iter().sum();
+    let kinds = spread(day.fleet.servers, &kinds.iter().map(|k| k / sum).collect::<Vec<_>>());
+    let mixed = d.order(kinds.len());
+    (0..places.len()).map(|n| server(day, &mut d, n, places[n], kinds[mixed[n]])).collect()
+}
+
+/// Capacity of servers when warm: work of a standard core, in ms a ms.
+pub(super) fn capacity_of(servers: &[ServerPlan]) -> f64 {
+    servers.iter().map(|s| s.cores * s.speed).sum()
+}
+
+/// Draws the sidecars with their shares of the traffic.
+pub(super) fn sidecars(day: &Day, seed: u64) -> Vec<SidecarPlan> {
+    let mut d = Draws::new(seed, Purpose::Sidecars);
+    let skew = d.of(day.load.zone_skew);
+    let zones = d.shares(day.fleet.zones.len(), skew);
+    let even = vec![1.0 / zones.len() as f64; zones.len()];
+    let places = spread(day.fleet.sidecars, &even);
+    let cv = d.of(day.load.stream_cv);
+    let mut raw: Vec<f64> = places.iter().map(|z| zones[*z] * factor(cv, d.0.random()).max(0.05)).collect();
+    let sum: f64 = raw.iter().sum();
+    raw.iter_mut().for_each(|s| *s /= sum);
+    let named = places.into_iter().zip(raw).enumerate();
+    named.map(|(n, (zone, share))| SidecarPlan { name: format!("n{n}"), zone, share }).collect()
+}
--- /dev/null
+++ b/crates/emulator/src/plan/troubles.rs
@@ -0,0 +1,52 @@
+//! Troubles as a draw has them.
+
+use super::random::{Draws, Purpose};
+use crate::day::{Day, Trouble, TroubleKind};
+use rand::Rng;
+
+/// A trouble with its figures drawn.
+#[derive(Clone, Debug)]
+pub struct TroublePlan {
+    /// What.
+    pub kind: TroubleKind,
+    /// From when until when (ms).
+    pub from: f64,
+    /// Its end (ms).
+    pub until: f64,
+    /// How bad.
+    pub size: f64,
+    /// Share that it meets.
+    pub part: f64,
+    /// The zone that it meets.
+    pub zone: usize,
+    /// Whether the zone goes silent.
+    pub silent: bool,
+    /// Whether sidecars are lost too.
+    pub sidecars: bool,
+    /// Whom it meets, in an order drawn for it.
+    pub order: Vec<usize>,
+}
+
+/// Draws the day's troubles, in the order of the file.
+pub(super) fn troubles(day: &Day, seed: u64, servers: usize, sidecars: usize) -> Vec<TroublePlan> {
+    let mut d = Draws::new(seed, Purpose::Troubles);
+    let draw = |t: &Trouble| {
+        let from = d.of(t.at_s) * 1e3;
+        let until = from + d.of(t.len_s) * 1e3;
+        let of_sidecars = matches!(t.kind, TroubleKind::Restart | TroubleKind::Kill | TroubleKind::Rude);
+        let order = d.order(if of_sidecars { sidecars } else { servers });
+        let drawn = d.0.random_range(0..day.fleet.zones.len());
+        TroublePlan {
+            kind: t.kind,
+            from,
+            until,
+            size: d.of(t.size),
+            part: d.of(t.part),
+            zone: t.zone.unwrap_or(drawn),
+            silent: t.silent,
+            sidecars: t.sidecars,
+            order,
+        }
+    };
+    day.troubles.iter().map(draw).collect()
+}
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server/mod.rs
@@ -5,49 +5,21 @@
 //! all of them, so that attained service is one number for the server and a request ends when that number
 //! has grown by its work.
 
+mod crowding;
+mod job;
+mod pace;
+mod report;
+
+pub use job::{Done, Job, TurnedAway};
+pub use report::Report;
+
 use crate::day::Cancel;
 use crate::plan::{hashed, ServerPlan};
+use crowding::Crowding;
 use std::collections::{BTreeMap, VecDeque};
 
 /// How often a pace that changes by itself is looked at anew (ms).
 const LOOK: f64 = 20.0;
-/// Kept free of the budget of a cold server, in requests of mean work: chance alone breaks no rule.
-const CHANCE: f64 = 4.0;
-
-/// What a server is given to do.
-#[derive(Clone, Copy, Debug)]
-pub struct Job {
-    /// Number of its own.
-    pub id: u64,
-    /// Work (ms of a standard core), without what its key saves.
-    pub work: f64,
-    /// Its key.
-    pub key: Option<u64>,
-    /// Whether it fails in the end.
-    pub error: bool,
-}
-
-/// Why a server takes a job not.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TurnedAway {
-    /// Its waiting room is full.
-    Full,
-    /// It drains.
-    Draining,
-    /// It is not there.
-    Down,
-}
-
-/// What ended at a server.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Done {
-    /// The job's number.
-    pub id: u64,
-    /// When.
-    pub at: f64,
-    /// Whether it failed.
-    pub error: bool,
-}
 
 /// Whether a server takes work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -60,17 +32,6 @@
     Down,
 }
 
-/// Whether crowding has turned it slow.
-#[derive(Clone, Copy, Debug, PartialEq)]
-enum Crowding {
-    /// No more wait than it bears.
-    Calm,
-    /// Too many have waited since then.
-    Crowded(f64),
-    /// It is slow since then, and has been mostly idle since the second time, if at all.
-    Slow(f64, Option<f64>),
-}
-
 #[derive(Clone, Copy, Debug)]
 struct Work {
     id: u64,
@@ -79,17 +40,6 @@
     error: bool,
 }
 
-/// What a probe or an answer says of a server.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
-    /// Requests held.
-    pub inflight: f64,
-    /// Requests waiting.
-    pub queue: f64,
-    /// Busy share of the cores.
-    pub util: f64,
-}
-
 /// A server at this moment.
 #[derive(Debug)]
 pub struct Server {
@@ -184,63 +134,11 @@
         self.waiting.len()
     }
 
-    /// Whether crowding has turned it slow.
-    pub fn slow(&self) -> bool {
-        matches!(self.crowding, Crowding::Slow(..))
-    }
-
     /// Whether it stands still.
     pub fn paused(&self) -> bool {
         self.now < self.paused_until
     }
 
-    /// Share of its capacity that it has by its warmth: even over the stated time, sooner by requests.
-    pub fn warmth(&self) -> f64 {
-        let (from, time, requests) = self.plan.cold;
-        let Some(started) = self.started else { return 1.0 };
-        let by_time = (self.now - started) / time.max(1.0);
-        let by_work = if requests > 0.0 { self.served / requests } else { 0.0 };
-        from + (1.0 - from) * by_time.max(by_work).clamp(0.0, 1.0)
-    }
-
-    /// Work that it does in a millisecond when all cores are busy.
-    pub fn capacity(&self) -> f64 {
-        if self.phase == Phase::Down || self.fallen {
-            return 0.0;
-        }
-        let p = &self.plan;
-        let over = (self.held() as f64 / p.cores / p.thrash.1 - 1.0).max(0.0);
-        let table = (self.conns as f64 / p.conns.0.max(1) as f64).min(1.0) * p.conns.1;
-        let slow = match (self.crowding, p.choke) {
-            (Crowding::Slow(..), Some(choke)) => choke.slower,
-            _ => 1.0,
-        };
-        p.cores * p.speed * self.warmth() / (1.0 + p.thrash.0 * over) * (1.0 - table) / slow / self.slowed
-    }
-
-    /// How long work would take if it came now and nothing came after it (ms).
-    pub fn forecast(&self, work: f64) -> f64 {
-        let (capacity, cores) = (self.capacity(), self.plan.cores);
-        if capacity <= 0.0 || self.phase != Phase::Up {
-            return f64::INFINITY;
-        }
-        let pause = (self.paused_until - self.now).max(0.0);
-        let sharing = (self.held() as f64 + 1.0).max(cores);
-        pause + work * sharing / capacity
-    }
-
-    /// Service that each request in work gets in a millisecond.
-    fn pace(&self) -> f64 {
-        let busy = self.running.len() as f64;
-        if busy == 0.0 || self.now < self.paused_until {
-            return 0.0;
-        }
-        // Chores take their turn beside the requests, one core at most.
-        let cores =
-            self.plan.cores - if self.chores > 0.0 { 1.0_f64.min(self.plan.cores / 2.0) } else { 0.0 };
-        self.capacity() / self.plan.cores * (cores / busy).min(1.0)
-    }
-
     /// When it is to be looked at again, if nothing comes.
     pub fn next(&self) -> f64 {
         if self.phase == Phase::Down {
@@ -313,35 +211,6 @@
         }
     }
 
-    /// Turns slow when too many have waited for too long, and back when it was mostly idle.
-    fn crowd(&mut self) {
-        let Some(choke) = self.plan.choke else { return };
-        let queued = (self.held() as f64 - self.plan.cores).max(0.0);
-        let busy = self.busy();
-        let now = self.now;
-        self.crowding = match self.crowding {
-            Crowding::Calm if queued > choke.at => Crowding::Crowded(now),
-            Crowding::Crowded(_) if queued <= choke.at => Crowding::Calm,
-            Crowding::Crowded(since) if now - since >= choke.over => {
-                self.chokes += 1;
-                Crowding::Slow(now, None)
-            }
-            Crowding::Slow(since, idle) => {
-                let idle = (busy < choke.below).then(|| idle.unwrap_or(now));
-                if now - since >= choke.most || idle.is_some_and(|at| now - at >= choke.rest) {
-                    Crowding::Calm
-                } else {
-                    Crowding::Slow(since, idle)
-                }
-            }
-            same => same,
-        };
-    }
-
-    fn busy(&self) -> f64 {
-        (self.running.len() as f64 / self.plan.cores).min(1.0)
-    }
-
     /// Takes a job, or says why not.
     pub fn offer(&mut self, job: Job) -> Result<(), TurnedAway> {
         match self.phase {
@@ -371,23 +240,6 @@
         job.work * if met { 1.0 - gain } else { 1.0 }
     }
 
-    /// Counts work sent to it while cold; true where it goes over with that: sent more than `multiple`
-    /// of what it can do at this moment, within `window` (ms).
-    pub fn push(&mut self, work: f64, multiple: f64, window: f64) -> bool {
-        if self.phase != Phase::Up || self.fallen || self.warmth() >= 1.0 {
-            self.sent.clear();
-            return false;
-        }
-        self.sent.push_back((self.now, work));
-        while self.sent.front().is_some_and(|(at, _)| self.now - at > window) {
-            self.sent.pop_front();
-        }
-        let sum: f64 = self.sent.iter().map(|(_, w)| w).sum();
-        let able = self.plan.cores * self.plan.speed * self.warmth();
-        self.fallen = sum > multiple * able * window + CHANCE * self.mean_work;
-        self.fallen
-    }
-
     /// Its sidecar hung up: drops what still waits, and what is in work, where the kind does that.
     pub fn hang_up(&mut self, id: u64) -> bool {
         if self.plan.cancel == Cancel::None {
@@ -418,29 +270,6 @@
         let held = self.running.drain(..).chain(self.waiting.drain(..)).map(|w| w.id);
         held.collect()
     }
-
-    fn refresh(&mut self, now: f64) {
-        let (period, ..) = self.plan.report;
-        if now - self.figures[1].0 >= period {
-            let (held, queue) = (self.held() as f64, self.waiting.len() as f64);
-            let fresh = Report { inflight: held, queue, util: self.busy() };
-            self.figures = [self.figures[1], (now, fresh)];
-        }
-    }
-
-    /// What it says of itself: late, and off by a noise from this draw (0 to 1).
-    pub fn report(&mut self, draw: f64) -> Report {
-        self.refresh(self.now);
-        let (_, delay, noise) = self.plan.report;
-        let [(_, before), (at, last)] = self.figures;
-        let seen = if self.now - at >= delay { last } else { before };
-        let off = crate::plan::factor(noise, draw);
-        Report {
-            inflight: (seen.inflight * off).round(),
-            queue: (seen.queue * off).round(),
-            util: (seen.util * off).clamp(0.0, 1.0),
-        }
-    }
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/emulator/src/server/pace.rs
@@ -0,0 +1,73 @@
+//! How fast a server works: warmth, thrash, connections, crowding and pauses.
+
+use super::crowding::Crowding;
+use super::{Phase, Server};
+
+/// Kept free of the budget of a cold server, in requests of mean work: chance alone breaks no rule.
+const CHANCE: f64 = 4.0;
+
+impl Server {
+    /// Share of its capacity that it has by its warmth: even over the stated time, sooner by requests.
+    pub fn warmth(&self) -> f64 {
+        let (from, time, requests) = self.plan.cold;
+        let Some(started) = self.started else { return 1.0 };
+        let by_time = (self.now - started) / time.max(1.0);
+        let by_work = if requests > 0.0 { self.served / requests } else { 0.0 };
+        from + (1.0 - from) * by_time.max(by_work).clamp(0.0, 1.0)
+    }
+
+    /// Work that it does in a millisecond when all cores are busy.
+    pub fn capacity(&self) -> f64 {
+        if self.phase == Phase::Down || self.fallen {
+            return 0.0;
+        }
+        let p = &self.plan;
+        let over = (self.held() as f64 / p.cores / p.thrash.1 - 1.0).max(0.0);
+        let table = (self.conns as f64 / p.conns.0.max(1) as f64).min(1.0) * p.conns.1;
+        let slow = match (self.crowding, p.choke) {
+            (Crowding::Slow(..), Some(choke)) => choke.slower,
+            _ => 1.0,
+        };
+        p.cores * p.speed * self.warmth() / (1.0 + p.thrash.0 * over) * (1.0 - table) / slow / self.slowed
+    }
+
+    /// How long work would take if it came now and nothing came after it (ms).
+    pub fn forecast(&self, work: f64) -> f64 {
+        let (capacity, cores) = (self.capacity(), self.plan.cores);
+        if capacity <= 0.0 || self.phase != Phase::Up {
+            return f64::INFINITY;
+        }
+        let pause = (self.paused_until - self.now).max(0.0);
+        let sharing = (self.held() as f64 + 1.0).max(cores);
+        pause + work * sharing / capacity
+    }
+
+    /// Service that each request in work gets in a millisecond.
+    pub(super) fn pace(&self) -> f64 {
+        let busy = self.running.len() as f64;
+        if busy == 0.0 || self.now < self.paused_until {
+            return 0.0;
+        }
+        // Chores take their turn beside the requests, one core at most.
+        let cores =
+            self.plan.cores - if self.chores > 0.0 { 1.0_f64.min(self.plan.cores / 2.0) } else { 0.0 };
+        self.capacity() / self.plan.cores * (cores / busy).min(1.0)
+    }
+
+    /// Counts work sent to it while cold; true where it goes over with that: sent more than `multiple`
+    /// of what it can do at this moment, within `window` (ms).
+    pub fn push(&mut self, work: f64, multiple: f64, window: f64) -> bool {
+        if self.phase != Phase::Up || self.fallen || self.warmth() >= 1.0 {
+            self.sent.clear();
+            return false;
+        }
+        self.sent.push_back((self.now, work));
+        while self.sent.front().is_some_and(|(at, _)| self.now - at > window) {
+            self.sent.pop_front();
+        }
+        let sum: f64 = self.sent.iter().map(|(_, w)| w).sum();
+        let able = self.plan.cores * self.plan.speed * self.warmth();
+        self.fallen = sum > multiple * able * window + CHANCE * self.mean_work;
+        self.fallen
+    }
+}
