--- /dev/null
+++ b/crates/emulator/src/result/mod.rs
@@ -0,0 +1,190 @@
+//! What came of a day: `result.json`, and the series by second.
+
+mod attempts;
+mod flows;
+mod numbers;
+mod series;
+
+pub use attempts::{Attempts, Refusals};
+pub use flows::{Flows, Part};
+pub use numbers::Latency;
+pub use series::Second;
+
+use crate::fabric::Fabric;
+use crate::ledger::{Ledger, Rule, Try, TryEnd, Violation};
+use crate::world::World;
+use attempts::{attempts, refusals};
+use flows::{ended, worst, Parts};
+use numbers::{histogram, ratio, round, share};
+use serde::Serialize;
+use series::Series;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// What came of tries.
+#[derive(Clone, Debug, Default, PartialEq, Serialize)]
+pub struct Tries {
+    /// Sent.
+    pub sent: u64,
+    /// Served.
+    pub served: u64,
+    /// Refused.
+    pub refused: u64,
+    /// Failed with an answer.
+    pub failed: u64,
+    /// Ended without an answer.
+    pub nothing: u64,
+    /// No connection came up.
+    pub no_connection: u64,
+    /// In hand at a sidecar that was killed.
+    pub excused: u64,
+}
+
+/// What the servers went through.
+#[derive(Clone, Debug, Default, PartialEq, Serialize)]
+pub struct Servers {
+    /// Probes for each server and second.
+    pub probes_per_s: f64,
+    /// Connections opened for each try.
+    pub connections_per_try: f64,
+    /// How often servers turned slow.
+    pub chokes: u64,
+    /// Share of the cores in service that was idle, as a mean over the day.
+    pub idle_share: f64,
+    /// Calls answered by discovery, and those that failed.
+    pub calls: (u64, u64),
+}
+
+/// What came of a day.
+#[derive(Clone, Debug, Default, Serialize)]
+pub struct Outcome {
+    /// The day.
+    pub day: String,
+    /// Who decided.
+    pub strategy: String,
+    /// The seed.
+    pub seed: u64,
+    /// Worth answered within its aim over worth asked for; retries belong to their first try.
+    pub service: f64,
+    /// The same in the worst ten seconds.
+    pub worst_window: f64,
+    /// The same of the worst class.
+    pub worst_class: f64,
+    /// The same of the worst tenant, within its share.
+    pub worst_tenant: f64,
+    /// Counts of flows.
+    pub flows: Flows,
+    /// Counts of tries.
+    pub tries: Tries,
+    /// Refusals.
+    pub refusals: Refusals,
+    /// Counts of attempts.
+    pub attempts: Attempts,
+    /// Time from the first try to the answer (ms).
+    pub latency: Latency,
+    /// By class.
+    pub classes: BTreeMap<String, Part>,
+    /// By tenant, within its share.
+    pub tenants: BTreeMap<String, Part>,
+    /// The fleet.
+    pub servers: Servers,
+    /// Most descriptors that a sidecar held.
+    pub descriptors: usize,
+    /// Bad requests sent, and those answered by an error or a close in time.
+    pub bad: (u64, u64),
+    /// Spoilt answers by kind.
+    pub spoilt: BTreeMap<String, u64>,
+    /// Broken rules by name.
+    pub violation_counts: BTreeMap<String, u64>,
+    /// Broken rules; the first of them, if there are many.
+    pub violations: Vec<Violation>,
+}
+
+impl Tries {
+    fn add(&mut self, end: TryEnd) {
+        self.sent += 1;
+        let count = match end {
+            TryEnd::Served => &mut self.served,
+            TryEnd::Refused(_) => &mut self.refused,
+            TryEnd::Failed(_) => &mut self.failed,
+            TryEnd::NoConnection => &mut self.no_connection,
+            TryEnd::Nothing | TryEnd::Open => &mut self.nothing,
+            TryEnd::Excused => &mut self.excused,
+        };
+        *count += 1;
+    }
+}
+
+/// What came of a day that was played.
+pub fn outcome<F: Fabric>(world: &World<F>, strategy: &str) -> (Outcome, Vec<Second>) {
+    let (plan, ledger) = (&world.plan, world.ledger.borrow());
+    let mut series = Series::new(plan.day.length_s.ceil() as usize);
+    let mut out = Outcome {
+        day: plan.day.name.clone(),
+        strategy: strategy.into(),
+        seed: plan.seed,
+        ..Outcome::default()
+    };
+    count_flows(world, &ledger, &mut out, &mut series);
+    for one in &ledger.tries {
+        series.add_try(one.sent - world.day_start(), one.end);
+        out.tries.add(one.end);
+    }
+    out.worst_window = series.worst_window();
+    out.refusals = refusals(&ledger.tries);
+    out.attempts = attempts(&ledger);
+    out.servers = servers(world, &ledger);
+    out.descriptors = ledger.descriptors.values().copied().max().unwrap_or(0);
+    (out.bad, out.spoilt) = (ledger.bad, ledger.spoilt.clone());
+    out.violation_counts = ledger.counts.iter().map(|(rule, n)| (rule.to_string(), *n)).collect();
+    out.violations = ledger.violations.clone();
+    for violation in &mut out.violations {
+        violation.at = round(violation.at);
+    }
+    (out, series.finish(&world.samples.borrow()))
+}
+
+/// Counts every flow: in all, by second, by class and by tenant.
+fn count_flows<F: Fabric>(world: &World<F>, ledger: &Ledger, out: &mut Outcome, series: &mut Series) {
+    let (plan, unasked) = (&world.plan, world.unasked.borrow());
+    let mut by_flow: Vec<Vec<&Try>> = vec![Vec::new(); plan.arrivals.len()];
+    ledger.tries.iter().for_each(|t| by_flow[t.flow].push(t));
+    let (mut times, mut worth) = (histogram(), (0.0, 0.0));
+    let (mut classes, mut tenants) = (Parts::default(), Parts::default());
+    for (flow, arrival) in plan.arrivals.iter().enumerate() {
+        if unasked.contains(&flow) {
+            out.flows.unasked += 1;
+            continue;
+        }
+        let one = ended(plan, &by_flow[flow], world.day_at(arrival.at), flow);
+        worth = (worth.0 + arrival.worth, worth.1 + one.earned(arrival));
+        out.flows.add(&one);
+        series.add_flow(arrival, &one);
+        one.micros().into_iter().for_each(|time| times.saturating_record(time));
+        classes.add(&plan.class(arrival).name, arrival, &one);
+        if !arrival.over_share {
+            tenants.add(&plan.day.tenants[arrival.tenant].name, arrival, &one);
+        }
+    }
+    (out.classes, out.tenants) = (classes.finish(), tenants.finish());
+    (out.worst_class, out.worst_tenant) = (worst(&out.classes), worst(&out.tenants));
+    out.service = share(worth.1, worth.0);
+    out.latency = Latency::of(&times);
+}
+
+fn servers<F: Fabric>(world: &World<F>, ledger: &Ledger) -> Servers {
+    let (members, samples) = (world.members(), world.samples.borrow());
+    let probes: u64 = ledger.probes.values().sum();
+    let connections: u64 = ledger.connections.values().sum();
+    Servers {
+        probes_per_s: ratio(probes as f64, members.len() as f64 * world.plan.day.length_s),
+        connections_per_try: ratio(connections as f64, ledger.tries.len() as f64),
+        chokes: members.iter().map(|m| m.model.borrow().chokes).sum(),
+        idle_share: ratio(samples.iter().map(|s| s.idle).sum(), samples.len() as f64),
+        calls: ledger.calls,
+    }
+}
+
+/// The rules that were broken, each once.
+pub fn broken(outcome: &Outcome) -> BTreeSet<Rule> {
+    outcome.violations.iter().map(|v| v.rule).collect()
+}
