--- a/crates/emulator/src/client.rs
+++ b/crates/emulator/src/client.rs
@@ -19,7 +19,7 @@
         let arrival = &world.plan.arrivals[flow];
         world.until(world.day_at(arrival.at)).await;
         // The application dies with its sidecar: what it would have asked for is not asked for.
-        if !world.sidecar_up(arrival.sidecar) {
+        if !world.applications.asks(arrival.sidecar) {
             world.unasked.borrow_mut().insert(flow);
             continue;
         }
@@ -53,7 +53,7 @@
             // It may have run.
             TryEnd::Failed(_) | TryEnd::Nothing => class.effect == Effect::Safe,
         };
-        if !again || !world.sidecar_up(arrival.sidecar) {
+        if !again || !world.applications.asks(arrival.sidecar) {
             return;
         }
         let wait = match end {
@@ -74,7 +74,11 @@
     // When every connection is busy and the places are taken, a request waits at its client; that time is
     // the client's own.
     let until = world.now() + patience;
-    let place = tokio::time::timeout_at(world.instant(until - LEAST), world.places(sidecar).acquire()).await;
+    let place = tokio::time::timeout_at(
+        world.environment.clock.instant(until - LEAST),
+        world.places(sidecar).acquire(),
+    )
+    .await;
     let patience = until - world.now();
     let id = (hashed(plan.seed, &[22, flow as u64, number as u64]) * (1_u64 << 53) as f64) as u64;
     let at = world.ledger.borrow_mut().begin(id, flow, number, world.now(), until);
@@ -95,11 +99,11 @@
         tenant = plan.day.tenants[arrival.tenant].name,
         wait = patience / 1e3,
     );
-    let (kills, sent) = (world.kills(sidecar), world.now());
-    let limit = world.instant(until + plan.day.clients.slack_ms);
+    let (kills, sent) = (world.applications.kills(sidecar), world.now());
+    let limit = world.environment.clock.instant(until + plan.day.clients.slack_ms);
     let exchanged = tokio::time::timeout_at(limit, exchange(world, sidecar, at, text.as_bytes())).await;
     let now = world.now();
-    let excused = world.excused(sidecar, kills);
+    let excused = world.applications.excused(sidecar, kills);
     let taken = world.ledger.borrow().tries[at].taken;
     let (end, regret) = match exchanged {
         Ok(Ok(answer)) => judge(world, flow, at, &answer),
@@ -137,8 +141,8 @@
         let mut wire = match kept {
             Some(wire) => wire,
             None => {
-                let address = world.addresses.listen(sidecar);
-                Wire::new(world.fabric.connect(address).await.map_err(|_| Unread::Closed)?)
+                let address = world.environment.addresses.listen(sidecar);
+                Wire::new(world.environment.fabric.connect(address).await.map_err(|_| Unread::Closed)?)
             }
         };
         if wire.write(text).await.is_err() {
--- a/crates/emulator/src/discovery.rs
+++ b/crates/emulator/src/discovery.rs
@@ -126,7 +126,7 @@
             let model = member.model.borrow();
             json!({
                 "id": model.plan.id,
-                "host_port": world.addresses.server(sidecar, member.place).to_string(),
+                "host_port": world.environment.addresses.server(sidecar, member.place).to_string(),
                 "locality": world.plan.day.fleet.zones[model.plan.zone],
                 "flavor": model.plan.kind,
                 "cell": model.plan.cell,
@@ -163,7 +163,9 @@
             }
             continue;
         }
-        let Ok(listener) = world.fabric.bind(world.addresses.discovery(sidecar, moves)).await else {
+        let Ok(listener) =
+            world.environment.fabric.bind(world.environment.addresses.discovery(sidecar, moves)).await
+        else {
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
@@ -171,7 +173,7 @@
             tokio::select! {
                 biased;
                 _ = state.changed() => break,
-                stream = world.fabric.accept(&listener) => {
+                stream = world.environment.fabric.accept(&listener) => {
                     let Ok(stream) = stream else { continue };
                     spawn_local(connection(world.clone(), sidecar, stream));
                 }
@@ -204,7 +206,7 @@
         () = ends => {}
         () = converse(&world, sidecar, &mut wire) => return,
     }
-    world.fabric.reset(wire.stream);
+    world.environment.fabric.reset(wire.stream);
 }
 
 async fn converse<F: Fabric>(world: &Rc<World<F>>, sidecar: usize, wire: &mut Wire<F::Stream>) {
--- a/crates/emulator/src/fleet/mod.rs
+++ b/crates/emulator/src/fleet/mod.rs
@@ -30,17 +30,17 @@
 
 /// Listens for one sidecar at a server's address, as the server's fate allows.
 pub async fn listen<F: Fabric>(world: Rc<World<F>>, member: Rc<Member>, sidecar: usize) {
-    let address = world.addresses.server(sidecar, member.place);
+    let address = world.environment.addresses.server(sidecar, member.place);
     let mut fate = member.fate.subscribe();
     loop {
         let now = *fate.borrow_and_update();
         match now {
-            Fate::Up(_) => match world.fabric.bind(address).await {
+            Fate::Up(_) => match world.environment.fabric.bind(address).await {
                 Ok(listener) => loop {
                     tokio::select! {
                         biased;
                         _ = fate.changed() => break,
-                        stream = world.fabric.accept(&listener) => {
+                        stream = world.environment.fabric.accept(&listener) => {
                             let Ok(stream) = stream else { continue };
                             spawn_local(connection(world.clone(), member.clone(), sidecar, stream));
                         }
@@ -51,7 +51,7 @@
             },
             Fate::Down => drop(fate.changed().await),
             Fate::Cut => {
-                let _mute = world.fabric.mute(address).await;
+                let _mute = world.environment.fabric.mute(address).await;
                 let _ = fate.changed().await;
             }
         }
@@ -93,7 +93,7 @@
                 break;
             }
         }
-        world.fabric.reset(wire.stream);
+        world.environment.fabric.reset(wire.stream);
     }
     drop(seat);
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -11,9 +11,13 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod addresses;
+pub mod applications;
 pub mod client;
+pub mod clock;
 pub mod day;
 pub mod discovery;
+pub mod environment;
 pub mod fabric;
 pub mod fleet;
 pub mod http;
--- a/crates/emulator/src/plan/mod.rs
+++ b/crates/emulator/src/plan/mod.rs
@@ -13,7 +13,7 @@
 pub use servers::{Choke, ServerPlan, SidecarPlan};
 pub use troubles::TroublePlan;
 
-use crate::day::{Class, Day, Effect};
+use crate::day::{Class, Day, Effect, TroubleKind};
 use arrivals::arrivals;
 use rand::Rng;
 use random::{pick, Draws};
@@ -142,6 +142,11 @@
         capacity_of(&self.servers)
     }
 
+    /// The troubles of a kind at a time of the day (ms).
+    pub fn active(&self, kind: TroubleKind, at: f64) -> impl Iterator<Item = &TroublePlan> {
+        self.troubles.iter().filter(move |t| t.kind == kind && (t.from..t.until).contains(&at))
+    }
+
     /// The `Idempotency-Key` of a flow, equal in all its tries; `None` where its class has none.
     pub fn key_of(&self, flow: usize) -> Option<String> {
         let keyed = self.class(&self.arrivals[flow]).effect == Effect::Keyed;
--- a/crates/emulator/src/rude.rs
+++ b/crates/emulator/src/rude.rs
@@ -1,11 +1,14 @@
 //! Bad clients: what they send, and what they are owed (an error or a close, in time).
 
+use crate::applications::Applications;
+use crate::environment::Environment;
 use crate::fabric::Fabric;
 use crate::ledger::Rule;
 use crate::plan::hashed;
-use crate::world::World;
 use std::rc::Rc;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
+use tokio::task::spawn_local;
+use tokio::time::timeout_at;
 
 /// How long a bad client may be left without an error or a close (ms).
 const OWED: f64 = 3_000.0;
@@ -28,50 +31,67 @@
     "",
 ];
 
-/// Sends bad requests to one sidecar, about so many a second, until a time.
-pub async fn annoy<F: Fabric>(world: Rc<World<F>>, sidecar: usize, rate: f64, until: f64) {
-    let mut number = 0_u64;
-    while world.now() < until && rate > 0.0 {
-        let draw = hashed(world.plan.seed, &[31, sidecar as u64, number]);
-        world.sleep(-(draw.max(1e-9)).ln() / rate * 1e3).await;
-        number += 1;
-        if world.sidecar_up(sidecar) {
-            tokio::task::spawn_local(one(world.clone(), sidecar, number));
+/// Clients that send what can't be served.
+pub struct BadClients<F: Fabric> {
+    environment: Rc<Environment<F>>,
+    applications: Rc<Applications>,
+}
+
+impl<F: Fabric> BadClients<F> {
+    /// Bad clients beside these applications.
+    pub fn new(environment: Rc<Environment<F>>, applications: Rc<Applications>) -> Rc<BadClients<F>> {
+        Rc::new(BadClients { environment, applications })
+    }
+
+    /// Sends bad requests to one sidecar, about so many a second, until a time (ms).
+    pub async fn annoy(self: Rc<Self>, sidecar: usize, rate: f64, until: f64) {
+        let clock = &self.environment.clock;
+        let mut number = 0_u64;
+        while clock.now() < until && rate > 0.0 {
+            let draw = hashed(self.environment.plan.seed, &[31, sidecar as u64, number]);
+            clock.sleep(-(draw.max(1e-9)).ln() / rate * 1e3).await;
+            number += 1;
+            if self.applications.asks(sidecar) {
+                spawn_local(self.clone().send(sidecar, number));
+            }
         }
     }
-}
 
-async fn one<F: Fabric>(world: Rc<World<F>>, sidecar: usize, number: u64) {
-    let text = BAD[number as usize % BAD.len()];
-    let (kills, began) = (world.kills(sidecar), world.now());
-    let Ok(mut stream) = world.fabric.connect(world.addresses.listen(sidecar)).await else { return };
-    world.ledger.borrow_mut().bad.0 += 1;
-    let exchange = async {
-        let _ = stream.write_all(text.as_bytes()).await;
-        let mut answer = Vec::new();
-        let mut some = [0; 1024];
-        loop {
-            match stream.read(&mut some).await {
-                Ok(0) | Err(_) => return answer,
-                Ok(read) => answer.extend_from_slice(&some[..read]),
+    /// Sends one bad request and judges what comes back.
+    async fn send(self: Rc<Self>, sidecar: usize, number: u64) {
+        let environment = &self.environment;
+        let text = BAD[number as usize % BAD.len()];
+        let (kills, began) = (self.applications.kills(sidecar), environment.clock.now());
+        let Ok(stream) = environment.connect(sidecar).await else { return };
+        environment.ledger.borrow_mut().bad.0 += 1;
+        let limit = environment.clock.instant(began + OWED + environment.plan.day.limits.slack_ms);
+        let answer = timeout_at(limit, exchange(stream, text)).await;
+        let excused = self.applications.excused(sidecar, kills);
+        match answer {
+            Ok(answer) if answer.starts_with(b"HTTP/1.1 200") => {
+                environment.broke(Rule::ServedBad, sidecar, None, format!("{text:.60?}"));
             }
-            // An answer is enough; the connection may stay open.
-            if answer.windows(4).any(|w| w == b"\r\n\r\n") {
-                return answer;
+            Err(_) if !excused => {
+                environment.broke(Rule::BadUnanswered, sidecar, None, format!("{text:.60?}"));
             }
+            _ => environment.ledger.borrow_mut().bad.1 += 1,
+        }
+    }
+}
+
+/// Writes a text and reads until the end of a head or of the stream.
+async fn exchange<S: AsyncRead + AsyncWrite + Unpin>(mut stream: S, text: &str) -> Vec<u8> {
+    let _ = stream.write_all(text.as_bytes()).await;
+    let mut answer = Vec::new();
+    let mut some = [0; 1024];
+    loop {
+        match stream.read(&mut some).await {
+            Ok(0) | Err(_) => return answer,
+            Ok(read) => answer.extend_from_slice(&some[..read]),
         }
-    };
-    let limit = world.instant(began + OWED + world.plan.day.limits.slack_ms);
-    let answer = tokio::time::timeout_at(limit, exchange).await;
-    let excused = world.excused(sidecar, kills);
-    let now = world.now();
-    let mut ledger = world.ledger.borrow_mut();
-    match answer {
-        Ok(answer) if answer.starts_with(b"HTTP/1.1 200") => {
-            ledger.broke(now, Rule::ServedBad, Some(sidecar), None, format!("{text:.60?}"));
+        // An answer is enough; the connection may stay open.
+        if answer.windows(4).any(|w| w == b"\r\n\r\n") {
+            return answer;
         }
-        Ok(_) => ledger.bad.1 += 1,
-        Err(_) if excused => ledger.bad.1 += 1,
-        Err(_) => ledger.broke(now, Rule::BadUnanswered, Some(sidecar), None, format!("{text:.60?}")),
     }
 }
--- a/crates/emulator/src/world/config.rs
+++ b/crates/emulator/src/world/config.rs
@@ -21,8 +21,8 @@
         let seed = (hashed(plan.seed, &[43, sidecar as u64, start]) * (1_u64 << 53) as f64) as u64;
         json!({
             "name": plan.sidecars[sidecar].name,
-            "listen": self.addresses.listen(sidecar).to_string(),
-            "discovery": self.addresses.discovery(sidecar, moves).to_string(),
+            "listen": self.environment.addresses.listen(sidecar).to_string(),
+            "discovery": self.environment.addresses.discovery(sidecar, moves).to_string(),
             "seed": format!("{seed:x}"),
             "limits": {"cores": 1.0, "memory_mb": limits.memory_mb, "sockets": limits.sockets},
             "known": discovery::told(self, sidecar, None),
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -1,58 +1,53 @@
 //! The world of a day: it starts the sidecars, lets the day happen to them, and ends with its books.
 
-mod addresses;
 mod config;
 mod observers;
 mod servers;
 mod sidecars;
 mod troubles;
 
-pub use addresses::Addresses;
+pub use crate::addresses::Addresses;
 pub use observers::Sample;
 pub use sidecars::{Sidecars, Signal};
 
+use crate::applications::Applications;
 use crate::client;
 use crate::day::TroubleKind;
 use crate::discovery::{self, Registry};
+use crate::environment::Environment;
 use crate::fabric::Fabric;
 use crate::fleet::Member;
 use crate::http::Wire;
 use crate::ledger::{Ledger, Regret};
-use crate::plan::{factor, hashed, Plan, TroublePlan};
+use crate::plan::{factor, hashed, Plan};
+use crate::rude::BadClients;
 use crate::server::Server;
 use servers::server_seed;
-use sidecars::Beside;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::rc::Rc;
-use std::time::Duration;
 use tokio::sync::Semaphore;
 use tokio::task::{spawn_local, JoinHandle};
-use tokio::time::Instant;
 
 /// The world of a day.
 pub struct World<F: Fabric> {
-    /// What streams are made of.
-    pub fabric: F,
+    /// What all parties share.
+    pub environment: Rc<Environment<F>>,
     /// The day's draw.
-    pub plan: Plan,
-    /// Where everybody is.
-    pub addresses: Addresses,
+    pub plan: Rc<Plan>,
     /// The list.
     pub registry: Registry,
     /// The books.
-    pub ledger: RefCell<Ledger>,
+    pub ledger: Rc<RefCell<Ledger>>,
     /// Flows that were never asked for, as their application was down.
     pub unasked: RefCell<BTreeSet<usize>>,
     /// The fleet by second.
     pub samples: RefCell<Vec<Sample>>,
-    origin: Instant,
-    epoch: f64,
-    day_start: Cell<f64>,
     /// Mean work of the day's requests.
     mean_work: f64,
     members: RefCell<Vec<Rc<Member>>>,
-    beside: RefCell<Vec<Beside>>,
+    pub(crate) applications: Rc<Applications>,
+    bad_clients: Rc<BadClients<F>>,
     kept: RefCell<Vec<Vec<Wire<F::Stream>>>>,
     /// For requests, clients hold at most a third of a sidecar's descriptors.
     places: Vec<Semaphore>,
@@ -77,59 +72,51 @@
         });
         let members: Vec<_> = members.collect();
         let count = plan.sidecars.len();
+        let environment = Rc::new(Environment::new(fabric, plan, addresses, epoch));
+        let applications = Rc::new(Applications::new(count));
+        let plan = environment.plan.clone();
         Rc::new(World {
-            fabric,
-            addresses,
             registry: Registry::default(),
-            ledger: RefCell::default(),
+            ledger: environment.ledger.clone(),
             unasked: RefCell::default(),
             samples: RefCell::default(),
-            origin: Instant::now(),
-            epoch,
-            day_start: Cell::new(0.0),
             mean_work,
             members: RefCell::new(members),
-            beside: RefCell::new(vec![Beside::default(); count]),
+            bad_clients: BadClients::new(environment.clone(), applications.clone()),
+            applications,
             kept: RefCell::new((0..count).map(|_| Vec::new()).collect()),
             places: (0..count).map(|_| Semaphore::new(plan.day.limits.sockets / 3)).collect(),
             sidecars,
             draws: Cell::new(0),
             ending: Cell::new(false),
+            environment,
             plan,
         })
     }
 
     /// The time: ms since the world began.
     pub fn now(&self) -> f64 {
-        self.origin.elapsed().as_secs_f64() * 1e3
-    }
-
-    /// A time as the runtime counts it; a hair later, so that it has come when it is waited for.
-    pub fn instant(&self, at: f64) -> Instant {
-        self.origin + Duration::from_secs_f64(at.clamp(0.0, 1e10) / 1e3 + 1e-8)
+        self.environment.clock.now()
     }
 
     /// Waits until a time.
     pub async fn until(&self, at: f64) {
-        if at.is_infinite() {
-            return std::future::pending().await;
-        }
-        tokio::time::sleep_until(self.instant(at)).await;
+        self.environment.clock.until(at).await;
     }
 
     /// Waits for so long (ms).
     pub async fn sleep(&self, millis: f64) {
-        self.until(self.now() + millis).await;
+        self.environment.clock.sleep(millis).await;
     }
 
     /// A time of the day as the world's.
     pub fn day_at(&self, at: f64) -> f64 {
-        self.day_start.get() + at
+        self.environment.clock.day_at(at)
     }
 
     /// When the day began.
     pub fn day_start(&self) -> f64 {
-        self.day_start.get()
+        self.environment.clock.day_start()
     }
 
     /// A server.
@@ -153,12 +140,7 @@
 
     /// Share of the answers that is spoilt now.
     pub fn spoilt_share(&self, now: f64) -> f64 {
-        self.active(TroubleKind::Garble, now).map(|t| t.part).sum()
-    }
-
-    fn active(&self, kind: TroubleKind, now: f64) -> impl Iterator<Item = &TroublePlan> {
-        let at = now - self.day_start.get();
-        self.plan.troubles.iter().filter(move |t| t.kind == kind && (t.from..t.until).contains(&at))
+        self.plan.active(TroubleKind::Garble, now - self.day_start()).map(|t| t.part).sum()
     }
 
     /// The places that clients have at a sidecar, for requests.
@@ -173,7 +155,7 @@
 
     /// Keeps a client connection for the next request, as long as the application runs.
     pub fn keep(&self, sidecar: usize, wire: Wire<F::Stream>) {
-        if self.sidecar_up(sidecar) {
+        if self.applications.asks(sidecar) {
             self.kept.borrow_mut()[sidecar].push(wire);
         }
     }
@@ -205,12 +187,12 @@
         self.open();
         tokio::task::yield_now().await;
         self.start_all().await?;
-        self.day_start.set(self.now() + 50.0);
+        self.environment.clock.begin_day(self.now() + 50.0);
         let watch = spawn_local(self.clone().watch());
         let sample = spawn_local(self.clone().sample());
         let troubles: Vec<_> =
             (0..self.plan.troubles.len()).map(|t| spawn_local(self.clone().trouble(t))).collect();
-        self.until(self.day_start.get()).await;
+        self.until(self.day_start()).await;
         client::ask(self.clone()).await;
         self.ending.set(true);
         let longest = self.plan.day.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
--- a/crates/emulator/src/world/observers.rs
+++ b/crates/emulator/src/world/observers.rs
@@ -42,20 +42,20 @@
             self.ledger.borrow_mut().holds(self.now(), sidecar, held, limits.sockets);
         }
         if let Some(mb) = memory.filter(|mb| *mb > limits.memory_mb) {
-            self.broke(Rule::Memory, sidecar, format!("{mb:.1} of {} MB", limits.memory_mb));
+            self.environment.broke(
+                Rule::Memory,
+                sidecar,
+                None,
+                format!("{mb:.1} of {} MB", limits.memory_mb),
+            );
         }
-        let meant = self.beside.borrow()[sidecar].meant;
+        let meant = self.applications.meant(sidecar);
         if meant && self.sidecars.ended(sidecar) {
-            self.broke(Rule::Crash, sidecar, "it ended".into());
+            self.environment.broke(Rule::Crash, sidecar, None, "it ended".into());
             self.kill(sidecar);
         }
     }
 
-    /// Books a rule that a sidecar breaks now, on no flow of its own.
-    fn broke(&self, rule: Rule, sidecar: usize, what: String) {
-        self.ledger.borrow_mut().broke(self.now(), rule, Some(sidecar), None, what);
-    }
-
     /// Takes a sample each second of the day.
     pub(super) async fn sample(self: Rc<Self>) {
         for second in 0.. {
@@ -89,13 +89,13 @@
     /// Holds the sidecars' books against the emulator's.
     pub(super) async fn compare_books(&self) {
         for sidecar in 0..self.plan.sidecars.len() {
-            if self.started(sidecar) != 1 || !self.sidecar_up(sidecar) {
+            if self.applications.starts(sidecar) != 1 || !self.applications.asks(sidecar) {
                 continue;
             }
             let Some(answer) = self.call(sidecar, "/health/counters").await else { continue };
             let text = String::from_utf8_lossy(&answer.body).into_owned();
             for what in self.book_faults(sidecar, &text) {
-                self.broke(Rule::Books, sidecar, what);
+                self.environment.broke(Rule::Books, sidecar, None, what);
             }
         }
     }
--- a/crates/emulator/src/world/servers.rs
+++ b/crates/emulator/src/world/servers.rs
@@ -23,9 +23,13 @@
     pub(super) fn announce(self: &Rc<Self>, server: usize, said: Said, delay: f64) {
         let number = self.registry.announce(server);
         let world = self.clone();
-        let up_since = self.epoch + self.now();
+        let up_since = self.environment.clock.unix_now();
         spawn_local(async move {
-            let stale: f64 = world.active(TroubleKind::Stale, world.now()).map(|t| t.size * 1e3).sum();
+            let stale: f64 = world
+                .plan
+                .active(TroubleKind::Stale, world.now() - world.day_start())
+                .map(|t| t.size * 1e3)
+                .sum();
             world.sleep(delay + stale).await;
             if world.registry.apply(server, number, said, up_since) {
                 world.ledger.borrow_mut().list_has(world.now(), server, said == Said::InService);
--- a/crates/emulator/src/world/sidecars.rs
+++ b/crates/emulator/src/world/sidecars.rs
@@ -39,48 +39,11 @@
     fn holds(&self, number: usize) -> (Option<usize>, Option<f64>);
 }
 
-/// A sidecar as its application sees it.
-#[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Beside {
-    /// Whether the application asks.
-    pub(super) asking: bool,
-    /// Whether the process is meant to run.
-    pub(super) meant: bool,
-    /// How often it has ended without being asked to.
-    pub(super) kills: u64,
-    /// How often it was started.
-    pub(super) starts: u64,
-}
-
 impl<F: Fabric> World<F> {
-    /// Whether a sidecar's application asks.
-    pub fn sidecar_up(&self, sidecar: usize) -> bool {
-        self.beside.borrow()[sidecar].asking
-    }
-
-    /// How often a sidecar has ended without being asked to.
-    pub fn kills(&self, sidecar: usize) -> u64 {
-        self.beside.borrow()[sidecar].kills
-    }
-
-    /// Whether what a sidecar had in hand since it had ended so often is nobody's fault: it was killed.
-    pub fn excused(&self, sidecar: usize, kills: u64) -> bool {
-        self.kills(sidecar) != kills || !self.sidecar_up(sidecar)
-    }
-
-    /// How often a sidecar was started.
-    pub fn started(&self, sidecar: usize) -> u64 {
-        self.beside.borrow()[sidecar].starts
-    }
-
-    pub(super) fn change(&self, sidecar: usize, change: impl FnOnce(&mut Beside)) {
-        change(&mut self.beside.borrow_mut()[sidecar]);
-    }
-
     /// A call of the emulator's own to a sidecar.
     pub async fn call(&self, sidecar: usize, path: &str) -> Option<Answer> {
         let asks = async {
-            let stream = self.fabric.connect(self.addresses.listen(sidecar)).await.ok()?;
+            let stream = self.environment.connect(sidecar).await.ok()?;
             let mut wire = Wire::new(stream);
             let text = format!("GET {path} HTTP/1.1\r\nHost: origin.svc\r\nConnection: close\r\n\r\n");
             wire.write(text.as_bytes()).await.ok()?;
@@ -105,19 +68,19 @@
 
     /// From here on a sidecar may end without breaking a rule.
     pub(super) fn expect_ends(&self) {
-        (0..self.plan.sidecars.len()).for_each(|sidecar| self.change(sidecar, |b| b.meant = false));
+        (0..self.plan.sidecars.len()).for_each(|sidecar| self.applications.may_end(sidecar));
     }
 
     /// Starts a sidecar and waits until it is ready; then its application asks.
     pub(super) async fn start(self: &Rc<Self>, sidecar: usize) -> Result<(), String> {
-        let starts = self.started(sidecar);
+        let starts = self.applications.starts(sidecar);
         let config = self.config(sidecar, starts);
         self.sidecars.start(sidecar, &config)?;
-        self.change(sidecar, |b| (b.meant, b.starts) = (true, starts + 1));
+        self.applications.started(sidecar);
         let began = self.now();
         while self.now() - began < READY {
             if self.call(sidecar, "/health/ready").await.is_some_and(|a| a.status == 200) {
-                self.change(sidecar, |b| b.asking = b.meant);
+                self.applications.ready(sidecar);
                 return Ok(());
             }
             if self.sidecars.ended(sidecar) {
@@ -126,16 +89,13 @@
             self.sleep(20.0).await;
         }
         let what = format!("not ready {:.0} ms after its start", self.now() - began);
-        self.ledger.borrow_mut().broke(self.now(), Rule::NotReady, Some(sidecar), None, what);
+        self.environment.broke(Rule::NotReady, sidecar, None, what);
         Ok(())
     }
 
     /// Kills a sidecar; its application goes with it.
     pub(super) fn kill(&self, sidecar: usize) {
-        self.change(sidecar, |b| {
-            (b.asking, b.meant) = (false, false);
-            b.kills += 1;
-        });
+        self.applications.killed(sidecar);
         self.sidecars.signal(sidecar, Signal::Kill);
         self.kept.borrow_mut()[sidecar].clear();
     }
@@ -143,8 +103,8 @@
     /// Replaces the configuration of the sidecars that run.
     pub(super) fn reload_sidecars(&self) {
         for sidecar in 0..self.plan.sidecars.len() {
-            if self.sidecar_up(sidecar) {
-                let config = self.config(sidecar, self.started(sidecar));
+            if self.applications.asks(sidecar) {
+                let config = self.config(sidecar, self.applications.starts(sidecar));
                 self.sidecars.signal(sidecar, Signal::Reload(config));
             }
         }
@@ -152,13 +112,13 @@
 
     /// A planned restart.
     pub(super) async fn restart(self: &Rc<Self>, sidecar: usize) {
-        if !self.sidecar_up(sidecar) {
+        if !self.applications.asks(sidecar) {
             return;
         }
-        self.change(sidecar, |b| b.meant = false);
+        self.applications.may_end(sidecar);
         self.sidecars.signal(sidecar, Signal::Term);
         self.sleep(STILL_COME).await;
-        self.change(sidecar, |b| b.asking = false);
+        self.applications.stop(sidecar);
         self.kept.borrow_mut()[sidecar].clear();
         let longest = self.plan.day.classes.iter().map(|c| c.deadline_ms).fold(3_000.0, f64::max);
         let kill_at = self.now() - STILL_COME + longest + BEFORE_KILL;
@@ -175,7 +135,7 @@
             return;
         }
         if let Err(reason) = self.start(sidecar).await {
-            self.ledger.borrow_mut().broke(self.now(), Rule::NotReady, Some(sidecar), None, reason);
+            self.environment.broke(Rule::NotReady, sidecar, None, reason);
         }
     }
 }
--- a/crates/emulator/src/world/troubles.rs
+++ b/crates/emulator/src/world/troubles.rs
@@ -6,7 +6,6 @@
 use crate::fabric::Fabric;
 use crate::fleet::{Fate, Member};
 use crate::plan::{hashed, TroublePlan};
-use crate::rude;
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
@@ -46,7 +45,7 @@
             TroubleKind::Churn => self.churn(&trouble, until).await,
             TroubleKind::Rude => {
                 for sidecar in met {
-                    spawn_local(rude::annoy(self.clone(), *sidecar, trouble.size, until));
+                    spawn_local(self.bad_clients.clone().annoy(*sidecar, trouble.size, until));
                 }
             }
             TroubleKind::Reload => self.reload(&trouble).await,
@@ -105,7 +104,7 @@
 
     /// Sidecars are killed one after another, and each starts again later.
     async fn kill_some(self: &Rc<Self>, trouble: &TroublePlan, met: &[usize]) {
-        for sidecar in met.iter().filter(|s| self.sidecar_up(**s)) {
+        for sidecar in met.iter().filter(|s| self.applications.asks(**s)) {
             let (world, sidecar, after) = (self.clone(), *sidecar, trouble.size * 1e3);
             world.kill(sidecar);
             spawn_local(async move {
@@ -137,7 +136,7 @@
             self.announce(member.number, Said::Terminated, self.plan.discovery.silent_notice);
         }
         let beside = (0..self.plan.sidecars.len()).filter(|s| {
-            trouble.sidecars && self.plan.sidecars[*s].zone == trouble.zone && self.sidecar_up(*s)
+            trouble.sidecars && self.plan.sidecars[*s].zone == trouble.zone && self.applications.asks(*s)
         });
         let beside: Vec<usize> = beside.collect();
         beside.iter().for_each(|s| self.kill(*s));
