--- /dev/null
+++ b/crates/emulator/src/client/exchange.rs
@@ -0,0 +1,159 @@
+//! One request to a sidecar: what is written, what comes back, and how it is judged.
+
+use super::Clients;
+use crate::day::Effect;
+use crate::environment::Environment;
+use crate::fabric::Fabric;
+use crate::http::{Answer, Unread, Wire};
+use crate::ledger::{Regret, Rule, TryEnd};
+use crate::plan::Plan;
+
+/// The body of a request that may change something.
+const BODY: &str = "{\"design\":\"W-1200x900\",\"profile\":\"A\"}";
+
+/// A request to a sidecar, with the try in the ledger that it is.
+pub(super) struct Exchange<'a, F: Fabric> {
+    clients: &'a Clients<F>,
+    flow: usize,
+    sidecar: usize,
+    /// Its `Request-Id`.
+    id: u64,
+    /// The try's place in the ledger.
+    at: usize,
+    /// When its client gives it up (ms).
+    until: f64,
+}
+
+impl<'a, F: Fabric> Exchange<'a, F> {
+    /// The request of a try.
+    pub(super) fn new(clients: &'a Clients<F>, flow: usize, id: u64, at: usize, until: f64) -> Self {
+        let sidecar = clients.environment.plan.arrivals[flow].sidecar;
+        Exchange { clients, flow, sidecar, id, at, until }
+    }
+
+    fn environment(&self) -> &'a Environment<F> {
+        &self.clients.environment
+    }
+
+    fn broke(&self, rule: Rule, what: String) {
+        self.environment().broke(rule, self.sidecar, Some(self.flow), what);
+    }
+
+    fn taken(&self) -> bool {
+        self.environment().ledger.borrow().tries[self.at].taken
+    }
+
+    fn set_taken(&self, taken: bool) {
+        self.environment().ledger.borrow_mut().tries[self.at].taken = taken;
+    }
+
+    /// Writes the request, waits for its answer, and judges what came.
+    pub(super) async fn run(&self) -> (TryEnd, Option<Regret>) {
+        let (plan, clock) = (&self.environment().plan, &self.environment().clock);
+        let (kills, sent) = (self.clients.applications.kills(self.sidecar), clock.now());
+        let text = self.text(plan, self.until - sent);
+        let limit = clock.instant(self.until + plan.day.clients.slack_ms);
+        let exchanged = tokio::time::timeout_at(limit, self.exchange(text.as_bytes())).await;
+        let excused = self.clients.applications.excused(self.sidecar, kills);
+        match exchanged {
+            Ok(Ok(answer)) => self.judge(&answer),
+            _ if excused => (TryEnd::Excused, None),
+            Ok(Err(Unread::Closed | Unread::Broken)) if !self.taken() => (TryEnd::NoConnection, None),
+            Err(_) if !self.taken() => (TryEnd::NoConnection, None),
+            Ok(Err(Unread::Garbled(what))) => self.nothing(Rule::WrongBody, what),
+            Ok(Err(_)) => self.nothing(Rule::Lost, "the connection ended".into()),
+            Err(_) => {
+                let waited = clock.now() - sent;
+                self.nothing(Rule::Unanswered, format!("no answer {waited:.0} ms after it was sent"))
+            }
+        }
+    }
+
+    /// The request as it is written; its client waits so long for it (ms).
+    fn text(&self, plan: &Plan, patience: f64) -> String {
+        let arrival = &plan.arrivals[self.flow];
+        let class = plan.class(arrival);
+        let (method, body) = if class.effect == Effect::Safe { ("GET", "") } else { ("POST", BODY) };
+        let object = arrival.key.map_or(String::new(), |key| format!("?obj=k{key}"));
+        let length =
+            if body.is_empty() { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
+        let key = plan.key_of(self.flow).map_or(String::new(), |key| format!("Idempotency-Key: {key}\r\n"));
+        format!(
+            "{method} /{name}{object} HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: {id:016x}\r\n\
+             Request-Class: {name}\r\nTenant: {tenant}\r\nRequest-Timeout: {wait:.3}\r\n{key}{length}\r\n{body}",
+            name = class.name,
+            id = self.id,
+            tenant = plan.day.tenants[arrival.tenant].name,
+            wait = patience / 1e3,
+        )
+    }
+
+    /// Writes a request on a connection that is free, or on a new one, and reads the answer.
+    async fn exchange(&self, text: &[u8]) -> Result<Answer, Unread> {
+        loop {
+            let kept = self.clients.connections.take(self.sidecar);
+            let reused = kept.is_some();
+            let mut wire = match kept {
+                Some(wire) => wire,
+                None => {
+                    Wire::new(self.environment().connect(self.sidecar).await.map_err(|_| Unread::Closed)?)
+                }
+            };
+            if wire.write(text).await.is_err() {
+                if reused {
+                    continue;
+                }
+                return Err(Unread::Closed);
+            }
+            self.set_taken(true);
+            match wire.answer().await {
+                Ok(answer) => {
+                    // As long as the application runs, it keeps a connection for the next request.
+                    if !answer.closes() && self.clients.applications.asks(self.sidecar) {
+                        self.clients.connections.keep(self.sidecar, wire);
+                    }
+                    return Ok(answer);
+                }
+                // A close between requests crossed this one: it is sent once more, on a new connection.
+                Err(Unread::Closed) if reused => self.set_taken(false),
+                Err(why) => return Err(why),
+            }
+        }
+    }
+
+    /// Nothing came that could be served, which breaks a rule.
+    fn nothing(&self, rule: Rule, what: String) -> (TryEnd, Option<Regret>) {
+        self.broke(rule, what);
+        (TryEnd::Nothing, None)
+    }
+
+    /// What an answer is worth, and whether it may be at all.
+    fn judge(&self, answer: &Answer) -> (TryEnd, Option<Regret>) {
+        let now = self.environment().clock.now();
+        if now > self.until + self.environment().plan.day.clients.slack_ms {
+            self.broke(Rule::Late, format!("{:.0} ms after its time", now - self.until));
+        }
+        match answer.status {
+            200 => (self.judge_body(&answer.body), None),
+            429 | 503 => (TryEnd::Refused(advice(answer)), Some(self.clients.regret(self.flow))),
+            status => (TryEnd::Failed(status), None),
+        }
+    }
+
+    /// Served, if a server has made the body for this request.
+    fn judge_body(&self, body: &[u8]) -> TryEnd {
+        let made = self.environment().ledger.borrow().is_made(self.at, body);
+        if made {
+            return TryEnd::Served;
+        }
+        let begin = String::from_utf8_lossy(&body[..body.len().min(80)]).into_owned();
+        self.broke(Rule::WrongBody, begin);
+        TryEnd::Failed(200)
+    }
+}
+
+/// The wait that a refusal advises (ms); 0 for none.
+fn advice(answer: &Answer) -> f64 {
+    let seconds = answer.header("retry-after").and_then(|v| v.trim().parse::<f64>().ok());
+    seconds.unwrap_or(0.0) * 1e3
+}
--- /dev/null
+++ b/crates/emulator/src/client/mod.rs
@@ -0,0 +1,140 @@
+//! Clients: the applications beside the sidecars, open-loop, with retries, and the oracles on answers.
+
+mod connections;
+mod exchange;
+
+use crate::applications::Applications;
+use crate::day::Effect;
+use crate::environment::Environment;
+use crate::fabric::Fabric;
+use crate::fleet::Members;
+use crate::ledger::{Regret, TryEnd};
+use crate::plan::hashed;
+use connections::Connections;
+use exchange::Exchange;
+use std::cell::{Ref, RefCell};
+use std::collections::BTreeSet;
+use std::rc::Rc;
+use tokio::task::spawn_local;
+
+/// How long after a retry's end there must be time for another (ms).
+const LEAST: f64 = 20.0;
+/// Tasks of flows that may have ended before they are looked through.
+const OPEN_TASKS: usize = 4096;
+
+/// The clients of a day.
+pub struct Clients<F: Fabric> {
+    environment: Rc<Environment<F>>,
+    applications: Rc<Applications>,
+    members: Rc<Members>,
+    connections: Connections<F::Stream>,
+    unasked: RefCell<BTreeSet<usize>>,
+}
+
+impl<F: Fabric> Clients<F> {
+    /// Clients beside these applications; `members` tells what a refusal is to be regretted for.
+    pub fn new(
+        environment: Rc<Environment<F>>,
+        applications: Rc<Applications>,
+        members: Rc<Members>,
+    ) -> Rc<Clients<F>> {
+        let plan = &environment.plan;
+        let connections = Connections::new(plan.sidecars.len(), plan.day.limits.sockets);
+        Rc::new(Clients { environment, applications, members, connections, unasked: RefCell::default() })
+    }
+
+    /// Flows that were never asked for, as their application was down.
+    pub fn unasked(&self) -> Ref<'_, BTreeSet<usize>> {
+        self.unasked.borrow()
+    }
+
+    /// Closes the connections to a sidecar that are free.
+    pub fn close(&self, sidecar: usize) {
+        self.connections.close(sidecar);
+    }
+
+    /// Asks for all that the day holds, at its time; returns when the last has its end.
+    pub async fn ask(self: Rc<Self>) {
+        let mut open = Vec::new();
+        let clock = &self.environment.clock;
+        for (flow, arrival) in self.environment.plan.arrivals.iter().enumerate() {
+            clock.until(clock.day_at(arrival.at)).await;
+            // The application dies with its sidecar: what it would have asked for is not asked for.
+            if !self.applications.asks(arrival.sidecar) {
+                self.unasked.borrow_mut().insert(flow);
+                continue;
+            }
+            open.push(spawn_local(self.clone().follow(flow)));
+            if open.len() > OPEN_TASKS {
+                open.retain(|task| !task.is_finished());
+            }
+        }
+        for task in open {
+            let _ = task.await;
+        }
+    }
+
+    /// One flow with all its tries.
+    async fn follow(self: Rc<Self>, flow: usize) {
+        let (plan, clock) = (&self.environment.plan, &self.environment.clock);
+        let arrival = &plan.arrivals[flow];
+        let class = plan.class(arrival);
+        let begun = clock.now();
+        let honours = hashed(plan.seed, &[21, flow as u64]) < plan.clients.honour;
+        for number in 0..=plan.clients.retries {
+            let left = begun + class.deadline_ms - clock.now();
+            if left < LEAST {
+                return;
+            }
+            let patience = left.min(class.deadline_ms * plan.clients.try_share);
+            let end = self.attempt(flow, number, patience).await;
+            if !may_retry(end, class.effect) || !self.applications.asks(arrival.sidecar) {
+                return;
+            }
+            let wait = match end {
+                TryEnd::Refused(advice) if honours && advice > 0.0 => advice,
+                _ => plan.clients.backoff,
+            };
+            if wait > 0.0 {
+                clock.sleep(wait).await;
+            }
+        }
+    }
+
+    /// One try, for at most this long (ms): waits for a place, then asks.
+    async fn attempt(&self, flow: usize, number: usize, patience: f64) -> TryEnd {
+        let (plan, clock) = (&self.environment.plan, &self.environment.clock);
+        let sidecar = plan.arrivals[flow].sidecar;
+        // When every connection is busy and the places are taken, a request waits at its client; that time is
+        // the client's own.
+        let until = clock.now() + patience;
+        let place = self.connections.places(sidecar).acquire();
+        let place = tokio::time::timeout_at(clock.instant(until - LEAST), place).await;
+        let id = (hashed(plan.seed, &[22, flow as u64, number as u64]) * (1_u64 << 53) as f64) as u64;
+        let at = self.environment.ledger.borrow_mut().begin(id, flow, number, clock.now(), until);
+        let (end, regret) = match place {
+            Ok(Ok(_place)) => Exchange::new(self, flow, id, at, until).run().await,
+            _ => (TryEnd::NoConnection, None),
+        };
+        self.environment.ledger.borrow_mut().end(clock.now(), at, end, regret);
+        end
+    }
+
+    /// What is known of a request that is being refused at this moment.
+    fn regret(&self, flow: usize) -> Regret {
+        let (plan, clock) = (&self.environment.plan, &self.environment.clock);
+        let (now, arrival) = (clock.now(), &plan.arrivals[flow]);
+        let left = plan.class(arrival).aim_ms - (now - clock.day_at(arrival.at));
+        self.members.regret(now, arrival.work, left)
+    }
+}
+
+/// Whether a client tries again after such an end.
+fn may_retry(end: TryEnd, effect: Effect) -> bool {
+    match end {
+        TryEnd::Served | TryEnd::Excused | TryEnd::Open => false,
+        TryEnd::Refused(_) | TryEnd::NoConnection => true,
+        // It may have run.
+        TryEnd::Failed(_) | TryEnd::Nothing => effect == Effect::Safe,
+    }
+}
--- a/crates/emulator/src/fleet/mod.rs
+++ b/crates/emulator/src/fleet/mod.rs
@@ -1,10 +1,12 @@
 //! Config servers on streams: the model of [`crate::server`] behind HTTP/1.1.
 
 mod member;
+mod members;
 mod probes;
 mod requests;
 
 pub use member::{Fate, Member};
+pub use members::Members;
 
 use crate::fabric::Fabric;
 use crate::http::{answer_bytes, Unread, Wire};
--- a/crates/emulator/src/result/mod.rs
+++ b/crates/emulator/src/result/mod.rs
@@ -145,7 +145,7 @@
 
 /// Counts every flow: in all, by second, by class and by tenant.
 fn count_flows<F: Fabric>(world: &World<F>, ledger: &Ledger, out: &mut Outcome, series: &mut Series) {
-    let (plan, unasked) = (&world.plan, world.unasked.borrow());
+    let (plan, unasked) = (&world.plan, world.clients.unasked());
     let mut by_flow: Vec<Vec<&Try>> = vec![Vec::new(); plan.arrivals.len()];
     ledger.tries.iter().for_each(|t| by_flow[t.flow].push(t));
     let (mut times, mut worth) = (histogram(), (0.0, 0.0));
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -11,22 +11,19 @@
 pub use sidecars::{Sidecars, Signal};
 
 use crate::applications::Applications;
-use crate::client;
+use crate::client::Clients;
 use crate::day::TroubleKind;
 use crate::discovery::{self, Registry};
 use crate::environment::Environment;
 use crate::fabric::Fabric;
-use crate::fleet::Member;
-use crate::http::Wire;
-use crate::ledger::{Ledger, Regret};
+use crate::fleet::{Member, Members};
+use crate::ledger::Ledger;
 use crate::plan::{factor, hashed, Plan};
 use crate::rude::BadClients;
 use crate::server::Server;
 use servers::server_seed;
 use std::cell::{Cell, RefCell};
-use std::collections::BTreeSet;
 use std::rc::Rc;
-use tokio::sync::Semaphore;
 use tokio::task::{spawn_local, JoinHandle};
 
 /// The world of a day.
@@ -39,18 +36,15 @@
     pub registry: Registry,
     /// The books.
     pub ledger: Rc<RefCell<Ledger>>,
-    /// Flows that were never asked for, as their application was down.
-    pub unasked: RefCell<BTreeSet<usize>>,
     /// The fleet by second.
     pub samples: RefCell<Vec<Sample>>,
     /// Mean work of the day's requests.
     mean_work: f64,
-    members: RefCell<Vec<Rc<Member>>>,
-    pub(crate) applications: Rc<Applications>,
+    members: Rc<Members>,
+    applications: Rc<Applications>,
     bad_clients: Rc<BadClients<F>>,
-    kept: RefCell<Vec<Vec<Wire<F::Stream>>>>,
-    /// For requests, clients hold at most a third of a sidecar's descriptors.
-    places: Vec<Semaphore>,
+    /// The clients of the day.
+    pub clients: Rc<Clients<F>>,
     sidecars: Rc<dyn Sidecars>,
     draws: Cell<u64>,
     ending: Cell<bool>,
@@ -70,7 +64,7 @@
             let model = Server::new(server.clone(), server_seed(&plan, 41, n), mean_work);
             Member::new(n, n, model)
         });
-        let members: Vec<_> = members.collect();
+        let members = Rc::new(Members::new(members.collect()));
         let count = plan.sidecars.len();
         let environment = Rc::new(Environment::new(fabric, plan, addresses, epoch));
         let applications = Rc::new(Applications::new(count));
@@ -78,14 +72,12 @@
         Rc::new(World {
             registry: Registry::default(),
             ledger: environment.ledger.clone(),
-            unasked: RefCell::default(),
             samples: RefCell::default(),
             mean_work,
-            members: RefCell::new(members),
+            clients: Clients::new(environment.clone(), applications.clone(), members.clone()),
+            members,
             bad_clients: BadClients::new(environment.clone(), applications.clone()),
             applications,
-            kept: RefCell::new((0..count).map(|_| Vec::new()).collect()),
-            places: (0..count).map(|_| Semaphore::new(plan.day.limits.sockets / 3)).collect(),
             sidecars,
             draws: Cell::new(0),
             ending: Cell::new(false),
@@ -121,12 +113,12 @@
 
     /// A server.
     pub fn member(&self, number: usize) -> Rc<Member> {
-        self.members.borrow()[number].clone()
+        self.members.get(number)
     }
 
     /// All servers there have been.
     pub fn members(&self) -> Vec<Rc<Member>> {
-        self.members.borrow().clone()
+        self.members.all()
     }
 
     /// One way between a sidecar and a server, this time (ms).
@@ -143,45 +135,6 @@
         self.plan.active(TroubleKind::Garble, now - self.day_start()).map(|t| t.part).sum()
     }
 
-    /// The places that clients have at a sidecar, for requests.
-    pub fn places(&self, sidecar: usize) -> &Semaphore {
-        &self.places[sidecar]
-    }
-
-    /// A client connection that is free.
-    pub fn kept(&self, sidecar: usize) -> Option<Wire<F::Stream>> {
-        self.kept.borrow_mut()[sidecar].pop()
-    }
-
-    /// Keeps a client connection for the next request, as long as the application runs.
-    pub fn keep(&self, sidecar: usize, wire: Wire<F::Stream>) {
-        if self.applications.asks(sidecar) {
-            self.kept.borrow_mut()[sidecar].push(wire);
-        }
-    }
-
-    /// What the world knows of a request that is being refused at this moment.
-    pub fn regret(&self, flow: usize) -> Regret {
-        let (now, arrival) = (self.now(), &self.plan.arrivals[flow]);
-        let left = self.plan.class(arrival).aim_ms - (now - self.day_at(arrival.at));
-        let (mut best, mut regret) = (f64::INFINITY, Regret::Nobody);
-        for member in self.members.borrow().iter().filter(|m| m.in_service()) {
-            member.touch(now);
-            let model = member.model.borrow();
-            let forecast = model.forecast(arrival.work);
-            if forecast < best {
-                best = forecast;
-                let idle = (model.held() as f64) < model.plan.cores;
-                regret = match (forecast <= left, idle) {
-                    (true, true) => Regret::CoreIdle,
-                    (true, false) => Regret::WouldFit,
-                    (false, _) => Regret::Full,
-                };
-            }
-        }
-        regret
-    }
-
     /// Plays the day to its end. The error says why it could not begin.
     pub async fn play(self: &Rc<Self>) -> Result<(), String> {
         self.open();
@@ -193,7 +146,7 @@
         let troubles: Vec<_> =
             (0..self.plan.troubles.len()).map(|t| spawn_local(self.clone().trouble(t))).collect();
         self.until(self.day_start()).await;
-        client::ask(self.clone()).await;
+        self.clients.clone().ask().await;
         self.ending.set(true);
         let longest = self.plan.day.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
         self.until(self.day_at(self.plan.day.length_s * 1e3 + longest)).await;
--- a/crates/emulator/src/world/servers.rs
+++ b/crates/emulator/src/world/servers.rs
@@ -56,11 +56,11 @@
 
     /// A new server with a new id, at its own address or at that of one that has gone.
     pub(super) fn add_server(self: &Rc<Self>, zone: usize, place: Option<usize>) {
-        let number = self.members.borrow().len();
+        let number = self.members.count();
         let plan = self.plan.replacement(number - self.plan.servers.len(), zone);
         let model = Server::new(plan, server_seed(&self.plan, 44, number), self.mean_work);
         let member = Member::new(number, place.unwrap_or(number), model);
-        self.members.borrow_mut().push(member.clone());
+        self.members.push(member.clone());
         member.with(self.now(), |m| m.start(self.now()));
         self.serve(&member);
         self.announce(number, Said::InService, self.plan.discovery.add);
--- a/crates/emulator/src/world/sidecars.rs
+++ b/crates/emulator/src/world/sidecars.rs
@@ -97,7 +97,7 @@
     pub(super) fn kill(&self, sidecar: usize) {
         self.applications.killed(sidecar);
         self.sidecars.signal(sidecar, Signal::Kill);
-        self.kept.borrow_mut()[sidecar].clear();
+        self.clients.close(sidecar);
     }
 
     /// Replaces the configuration of the sidecars that run.
@@ -119,7 +119,7 @@
         self.sidecars.signal(sidecar, Signal::Term);
         self.sleep(STILL_COME).await;
         self.applications.stop(sidecar);
-        self.kept.borrow_mut()[sidecar].clear();
+        self.clients.close(sidecar);
         let longest = self.plan.day.classes.iter().map(|c| c.deadline_ms).fold(3_000.0, f64::max);
         let kill_at = self.now() - STILL_COME + longest + BEFORE_KILL;
         while !self.sidecars.ended(sidecar) && self.now() < kill_at {
