--- a/crates/emulator/src/fleet/member.rs
+++ b/crates/emulator/src/fleet/member.rs
@@ -1,9 +1,7 @@
 //! A server with what others need of it: its model, its reachability, and who waits for its work.
 
-use crate::fabric::Fabric;
 use crate::plan::hashed;
 use crate::server::{Done, Job, Phase, Server, TurnedAway};
-use crate::world::World;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -62,9 +60,8 @@
     }
 
     /// What it says of its load, as probes and answers bring it.
-    pub(super) fn report<F: Fabric>(&self, world: &World<F>) -> String {
-        let now = world.now();
-        let draw = hashed(world.plan.seed, &[11, self.number as u64, now as u64]);
+    pub(super) fn report(&self, now: f64, seed: u64) -> String {
+        let draw = hashed(seed, &[11, self.number as u64, now as u64]);
         let report = self.with(now, |m| m.report(draw));
         format!("TEXT inflight={}, queue={}, util={:.2}", report.inflight, report.queue, report.util)
     }
--- a/crates/emulator/src/fleet/mod.rs
+++ b/crates/emulator/src/fleet/mod.rs
@@ -1,5 +1,6 @@
 //! Config servers on streams: the model of [`crate::server`] behind HTTP/1.1.
 
+mod connection;
 mod member;
 mod members;
 mod probes;
@@ -8,137 +9,114 @@
 pub use member::{Fate, Member};
 pub use members::Members;
 
+use crate::day::TroubleKind;
+use crate::environment::Environment;
 use crate::fabric::Fabric;
-use crate::http::{answer_bytes, Unread, Wire};
-use crate::world::World;
-use probes::probe;
-use requests::Order;
+use crate::plan::{factor, hashed};
+use connection::Connection;
+use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
+use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// Keeps a server's model going.
-pub async fn keep_going<F: Fabric>(world: Rc<World<F>>, member: Rc<Member>) {
-    loop {
-        let next = member.model.borrow().next();
-        tokio::select! {
-            biased;
-            () = member.wake.notified() => {}
-            () = world.until(next) => {}
-        }
-        member.touch(world.now());
-    }
+/// How long a bind waits where the one before at its address is not quite gone.
+const BIND_AGAIN: Duration = Duration::from_millis(20);
+
+/// The servers' side of all streams.
+pub struct Fleet<F: Fabric> {
+    environment: Rc<Environment<F>>,
+    draws: Cell<u64>,
 }
 
-/// Listens for one sidecar at a server's address, as the server's fate allows.
-pub async fn listen<F: Fabric>(world: Rc<World<F>>, member: Rc<Member>, sidecar: usize) {
-    let address = world.environment.addresses.server(sidecar, member.place);
-    let mut fate = member.fate.subscribe();
-    loop {
-        let now = *fate.borrow_and_update();
-        match now {
-            Fate::Up(_) => match world.environment.fabric.bind(address).await {
-                Ok(listener) => loop {
-                    tokio::select! {
-                        biased;
-                        _ = fate.changed() => break,
-                        stream = world.environment.fabric.accept(&listener) => {
-                            let Ok(stream) = stream else { continue };
-                            spawn_local(connection(world.clone(), member.clone(), sidecar, stream));
-                        }
-                    }
-                },
-                // The one before at this address is not quite gone.
-                Err(_) => tokio::time::sleep(Duration::from_millis(20)).await,
-            },
-            Fate::Down => drop(fate.changed().await),
-            Fate::Cut => {
-                let _mute = world.environment.fabric.mute(address).await;
-                let _ = fate.changed().await;
-            }
-        }
+impl<F: Fabric> Fleet<F> {
+    /// A fleet that serves nobody yet.
+    pub fn new(environment: Rc<Environment<F>>) -> Rc<Fleet<F>> {
+        Rc::new(Fleet { environment, draws: Cell::new(0) })
     }
-}
 
-/// One place in a server's table of connections.
-struct Seat(Rc<Member>, Option<f64>);
+    /// The number of the next draw, counted from 1 over the whole simulation.
+    pub fn next_draw(&self) -> u64 {
+        self.draws.set(self.draws.get() + 1);
+        self.draws.get()
+    }
 
-impl Drop for Seat {
-    fn drop(&mut self) {
-        let mut model = self.0.model.borrow_mut();
-        // A process that has started since has a table of its own.
-        if model.started() == self.1 {
-            model.conns = model.conns.saturating_sub(1);
+    /// One way between a sidecar and a server, this time (ms).
+    fn one_way(&self, sidecar: usize, member: &Member) -> f64 {
+        let plan = &self.environment.plan;
+        let (same, cross, jitter) = plan.network;
+        let near = plan.sidecars[sidecar].zone == member.model.borrow().plan.zone;
+        let draw = hashed(plan.seed, &[42, self.next_draw()]);
+        (if near { same } else { cross }) * factor(jitter, draw)
+    }
+
+    /// Share of the answers that is spoilt now.
+    fn spoilt_share(&self) -> f64 {
+        let clock = &self.environment.clock;
+        let active = self.environment.plan.active(TroubleKind::Garble, clock.now() - clock.day_start());
+        active.map(|t| t.part).sum()
+    }
+
+    /// Lets a server work, and listen for every sidecar.
+    pub fn serve(self: &Rc<Self>, member: &Rc<Member>) {
+        spawn_local(self.clone().keep_going(member.clone()));
+        for sidecar in 0..self.environment.plan.sidecars.len() {
+            spawn_local(self.clone().listen(member.clone(), sidecar));
         }
     }
-}
 
-async fn connection<F: Fabric>(world: Rc<World<F>>, member: Rc<Member>, sidecar: usize, stream: F::Stream) {
-    let mut fate = member.fate.subscribe();
-    let (crowded, started) = member.with(world.now(), |m| {
-        m.conns += 1;
-        m.chore(m.plan.handshake.0);
-        (m.conns > m.plan.conns.0, m.started())
-    });
-    let seat = Seat(member.clone(), started);
-    *world.ledger.borrow_mut().connections.entry(member.number).or_default() += 1;
-    let mut wire = Wire::new(stream);
-    let ended = tokio::select! {
-        biased;
-        _ = fate.changed() => false,
-        () = converse(&world, &member, sidecar, crowded, &mut wire) => true,
-    };
-    if !ended {
-        // Cut off it says nothing until that ends; then, as at a death, it is reset.
-        while *fate.borrow_and_update() == Fate::Cut {
-            if fate.changed().await.is_err() {
-                break;
+    /// Keeps a server's model going.
+    async fn keep_going(self: Rc<Self>, member: Rc<Member>) {
+        let clock = &self.environment.clock;
+        loop {
+            let next = member.model.borrow().next();
+            tokio::select! {
+                biased;
+                () = member.wake.notified() => {}
+                () = clock.until(next) => {}
             }
+            member.touch(clock.now());
         }
-        world.environment.fabric.reset(wire.stream);
     }
-    drop(seat);
-}
 
-async fn converse<F: Fabric>(
-    world: &Rc<World<F>>,
-    member: &Rc<Member>,
-    sidecar: usize,
-    crowded: bool,
-    wire: &mut Wire<F::Stream>,
-) {
-    let (idle, rtts) = {
-        let model = member.model.borrow();
-        (model.plan.idle, model.plan.handshake.1)
-    };
-    let mut fresh = true;
-    loop {
-        if !wire.ahead() {
-            let more = tokio::time::timeout(Duration::from_secs_f64(idle / 1e3), wire.more()).await;
-            if !matches!(more, Ok(Ok(true))) {
-                return;
+    /// Listens for one sidecar at a server's address, as the server's fate allows.
+    async fn listen(self: Rc<Self>, member: Rc<Member>, sidecar: usize) {
+        let fabric = &self.environment.fabric;
+        let address = self.environment.addresses.server(sidecar, member.place);
+        let mut fate = member.fate.subscribe();
+        loop {
+            let now = *fate.borrow_and_update();
+            match now {
+                Fate::Up(_) => match fabric.bind(address).await {
+                    Ok(listener) => self.accept(&listener, &mut fate, &member, sidecar).await,
+                    Err(_) => tokio::time::sleep(BIND_AGAIN).await,
+                },
+                Fate::Down => drop(fate.changed().await),
+                Fate::Cut => {
+                    let _mute = fabric.mute(address).await;
+                    let _ = fate.changed().await;
+                }
             }
         }
-        let came = world.now();
-        let request = match wire.request().await {
-            Ok(request) => request,
-            Err(Unread::Garbled(_)) => {
-                let _ = wire.write(&answer_bytes(400, &[("connection", "close".into())], b"")).await;
-                return;
+    }
+
+    /// Accepts connections until the server's fate changes.
+    async fn accept(
+        self: &Rc<Self>,
+        listener: &F::Listener,
+        fate: &mut watch::Receiver<Fate>,
+        member: &Rc<Member>,
+        sidecar: usize,
+    ) {
+        loop {
+            tokio::select! {
+                biased;
+                _ = fate.changed() => return,
+                stream = self.environment.fabric.accept(listener) => {
+                    let Ok(stream) = stream else { continue };
+                    spawn_local(Connection::serve(self.clone(), member.clone(), sidecar, stream));
+                }
             }
-            Err(_) => return,
-        };
-        let way = world.one_way(sidecar, member);
-        let handshake = if fresh { 2.0 * rtts * way } else { 0.0 };
-        fresh = false;
-        world.sleep(way + handshake).await;
-        let path = request.path.split('?').next().unwrap_or_default();
-        let goes_on = match path {
-            "/stats" | "/health/live" => probe(world, member, wire, way, path == "/stats").await,
-            _ => Order { world, member, sidecar, crowded, request: &request, came, way }.answer(wire).await,
-        };
-        if !goes_on {
-            return;
         }
     }
 }
--- a/crates/emulator/src/fleet/probes.rs
+++ b/crates/emulator/src/fleet/probes.rs
@@ -1,49 +1,51 @@
 //! Probes: what a server answers when it is asked for its load or its health.
 
-use super::Member;
+use super::connection::Connection;
 use crate::fabric::Fabric;
 use crate::http::{answer_bytes, Wire};
 use crate::server::Job;
-use crate::world::World;
-use std::rc::Rc;
 
-/// Answers a probe; false where the connection ends.
-pub(super) async fn probe<F: Fabric>(
-    world: &Rc<World<F>>,
-    member: &Rc<Member>,
-    wire: &mut Wire<F::Stream>,
-    way: f64,
-    stats: bool,
-) -> bool {
-    *world.ledger.borrow_mut().probes.entry(member.number).or_default() += 1;
-    if !world.plan.day.limits.probes {
-        return wire.write(&answer_bytes(404, &[], b"")).await.is_ok();
-    }
-    let (work, most, deep) = member.model.borrow().plan.probe;
-    let full = member.with(world.now(), |m| {
-        m.probing += 1;
-        m.chore(work);
-        m.probing > most
-    });
-    if deep && !full {
-        let begun = member.begin(world.now(), |id| Job { id, work, key: None, error: false });
-        if let Ok((_, done)) = begun {
-            let _ = done.await;
+impl<F: Fabric> Connection<F> {
+    /// Answers a probe, for the load (`stats`) or the health; false where the connection ends.
+    pub(super) async fn probe(&self, wire: &mut Wire<F::Stream>, way: f64, stats: bool) -> bool {
+        let (environment, member) = (self.environment(), &self.member);
+        *environment.ledger.borrow_mut().probes.entry(member.number).or_default() += 1;
+        if !environment.plan.day.limits.probes {
+            return wire.write(&answer_bytes(404, &[], b"")).await.is_ok();
         }
-    } else {
-        // It runs beside the queue, but not while the whole machine stands still.
-        let paused = member.model.borrow().next();
-        if member.model.borrow().paused() {
-            world.until(paused).await;
+        let full = self.work_on_probe().await;
+        let text = member.report(environment.clock.now(), environment.plan.seed);
+        environment.clock.sleep(way).await;
+        let answer = match (full, stats) {
+            (true, _) => answer_bytes(503, &[], b""),
+            (false, true) => answer_bytes(200, &[], text.as_bytes()),
+            (false, false) => answer_bytes(200, &[], b"ok"),
+        };
+        wire.write(&answer).await.is_ok()
+    }
+
+    /// Does the work of a probe; whether there were too many at a time.
+    async fn work_on_probe(&self) -> bool {
+        let (clock, member) = (&self.environment().clock, &self.member);
+        let (work, most, deep) = member.model.borrow().plan.probe;
+        let full = member.with(clock.now(), |m| {
+            m.probing += 1;
+            m.chore(work);
+            m.probing > most
+        });
+        if deep && !full {
+            let begun = member.begin(clock.now(), |id| Job { id, work, key: None, error: false });
+            if let Ok((_, done)) = begun {
+                let _ = done.await;
+            }
+        } else {
+            // It runs beside the queue, but not while the whole machine stands still.
+            let paused = member.model.borrow().next();
+            if member.model.borrow().paused() {
+                clock.until(paused).await;
+            }
         }
+        member.with(clock.now(), |m| m.probing -= 1);
+        full
     }
-    member.with(world.now(), |m| m.probing -= 1);
-    let text = member.report(world);
-    world.sleep(way).await;
-    let answer = match (full, stats) {
-        (true, _) => answer_bytes(503, &[], b""),
-        (false, true) => answer_bytes(200, &[], text.as_bytes()),
-        (false, false) => answer_bytes(200, &[], b"ok"),
-    };
-    wire.write(&answer).await.is_ok()
 }
--- a/crates/emulator/src/fleet/requests.rs
+++ b/crates/emulator/src/fleet/requests.rs
@@ -1,37 +1,34 @@
 //! Requests: what a server makes of an attempt, from its first byte to its answer.
 
+use super::connection::Connection;
 use super::Member;
+use crate::environment::Environment;
 use crate::fabric::Fabric;
 use crate::http::{answer_bytes, Request, Wire};
-use crate::ledger::{AttemptEnd, Place, Rule};
+use crate::ledger::{AttemptEnd, Ledger, Place, Rule};
 use crate::plan::{factor, hashed, Arrival};
 use crate::server::{Done, Job, TurnedAway};
 use crate::spoil::{self, Spoil};
-use crate::world::World;
 use bytes::Bytes;
-use std::rc::Rc;
+use std::cell::RefMut;
 use tokio::sync::oneshot;
 
 /// Ends an attempt as cut where its connection's task is dropped: by a death or a cut.
-struct Open<F: Fabric> {
-    world: Rc<World<F>>,
+struct Open<'a, F: Fabric> {
+    environment: &'a Environment<F>,
     attempt: (usize, usize),
 }
 
-impl<F: Fabric> Drop for Open<F> {
+impl<F: Fabric> Drop for Open<'_, F> {
     fn drop(&mut self) {
-        let now = self.world.now();
-        self.world.ledger.borrow_mut().attempt_ended(now, self.attempt, AttemptEnd::Cut);
+        let now = self.environment.clock.now();
+        self.environment.ledger.borrow_mut().attempt_ended(now, self.attempt, AttemptEnd::Cut);
     }
 }
 
 /// A request at a server, with how it came there.
 pub(super) struct Order<'a, F: Fabric> {
-    pub(super) world: &'a Rc<World<F>>,
-    pub(super) member: &'a Rc<Member>,
-    pub(super) sidecar: usize,
-    /// Whether its connection is one more than the server accepts.
-    pub(super) crowded: bool,
+    pub(super) connection: &'a Connection<F>,
     pub(super) request: &'a Request,
     /// When its first byte came (ms).
     pub(super) came: f64,
@@ -50,20 +47,32 @@
 }
 
 impl<F: Fabric> Order<'_, F> {
+    fn environment(&self) -> &Environment<F> {
+        self.connection.environment()
+    }
+
+    fn ledger(&self) -> RefMut<'_, Ledger> {
+        self.environment().ledger.borrow_mut()
+    }
+
+    fn member(&self) -> &Member {
+        &self.connection.member
+    }
+
     /// Answers the request; false where the connection ends.
     pub(super) async fn answer(&self, wire: &mut Wire<F::Stream>) -> bool {
-        let world = self.world;
+        let (environment, clock) = (self.environment(), &self.environment().clock);
         let id = self.request.header("request-id").and_then(|id| u64::from_str_radix(id, 16).ok());
         let Some(id) = id else {
             return wire.write(&answer_bytes(404, &[], b"no id\n")).await.is_ok();
         };
-        let now = world.now();
+        let now = clock.now();
         let Some(attempt) = self.attempt(id, now) else {
             return wire.write(&answer_bytes(400, &[], b"nobody asked that\n")).await.is_ok();
         };
-        let open = Open { world: world.clone(), attempt };
-        let known = Known { id, attempt, flow: world.ledger.borrow().tries[attempt.0].flow };
-        if self.lacks_key(known, now) {
+        let open = Open { environment, attempt };
+        let known = Known { id, attempt, flow: self.ledger().tries[attempt.0].flow };
+        if self.lacks_key(known) {
             return wire.write(&answer_bytes(400, &[], b"nobody asked that\n")).await.is_ok();
         }
         let work = self.work(known);
@@ -75,7 +84,7 @@
             Err(why) => return self.turn_away(wire, known, why, now).await,
         };
         let Some(done) = self.wait(wire, known, job, work, done).await else { return false };
-        world.sleep(self.way).await;
+        clock.sleep(self.way).await;
         let bytes = self.answer_to(known, done);
         drop(open);
         wire.write(&bytes).await.is_ok()
@@ -83,89 +92,89 @@
 
     /// Books the attempt; `None` where no client asked for it.
     fn attempt(&self, id: u64, now: f64) -> Option<(usize, usize)> {
-        let server = (self.member.number, self.member.place);
-        self.world.ledger.borrow_mut().attempt(&self.world.plan, id, self.sidecar, server, self.came, now)
+        let server = (self.member().number, self.member().place);
+        self.ledger().attempt(&self.environment().plan, id, self.connection.sidecar, server, self.came, now)
     }
 
-    fn broke(&self, now: f64, rule: Rule, flow: usize, what: String) {
-        self.world.ledger.borrow_mut().broke(now, rule, Some(self.sidecar), Some(flow), what);
+    fn broke(&self, rule: Rule, flow: usize, what: String) {
+        self.environment().broke(rule, self.connection.sidecar, Some(flow), what);
     }
 
     fn arrival(&self, known: Known) -> &Arrival {
-        &self.world.plan.arrivals[known.flow]
+        &self.environment().plan.arrivals[known.flow]
     }
 
     /// A number from 0 to 1 that belongs to this attempt and one purpose.
     fn draw(&self, known: Known, purpose: u64) -> f64 {
-        hashed(self.world.plan.seed, &[purpose, known.id, known.attempt.1 as u64])
+        hashed(self.environment().plan.seed, &[purpose, known.id, known.attempt.1 as u64])
     }
 
     /// Whether the request of a keyed class came without the key that its client sent, which breaks a rule.
-    fn lacks_key(&self, known: Known, now: f64) -> bool {
-        let key = self.world.plan.key_of(known.flow);
+    fn lacks_key(&self, known: Known) -> bool {
+        let key = self.environment().plan.key_of(known.flow);
         let lacks = key.is_some() && self.request.header("idempotency-key") != key.as_deref();
         if lacks {
             let what = format!("id {:016x} without the key that its client sent", known.id);
-            self.broke(now, Rule::Unknown, known.flow, what);
+            self.broke(Rule::Unknown, known.flow, what);
         }
         lacks
     }
 
     /// The work of this attempt (ms of a standard core), which is counted as sent.
     fn work(&self, known: Known) -> f64 {
-        let (plan, arrival) = (&self.world.plan, self.arrival(known));
+        let (plan, arrival) = (&self.environment().plan, self.arrival(known));
         let noise = plan.day.classes[arrival.class].attempt_noise;
         let noise = noise.at(hashed(plan.seed, &[3, arrival.class as u64]));
         let work = arrival.work * factor(noise, self.draw(known, 4));
-        let mut ledger = self.world.ledger.borrow_mut();
+        let mut ledger = self.ledger();
         ledger.work.0 += work;
-        let crosses = self.member.model.borrow().plan.zone != plan.sidecars[self.sidecar].zone;
+        let crosses = self.member().model.borrow().plan.zone != plan.sidecars[self.connection.sidecar].zone;
         ledger.crossed += u64::from(crosses);
         work
     }
 
     /// Whether this work is too much for a cold server, which goes down with it.
     fn pushes_over(&self, known: Known, work: f64, now: f64) -> bool {
-        let limits = &self.world.plan.day.limits;
-        let pushed = self.member.with(now, |m| m.push(work, limits.fall_multiple, limits.fall_ms));
+        let limits = &self.environment().plan.day.limits;
+        let pushed = self.member().with(now, |m| m.push(work, limits.fall_multiple, limits.fall_ms));
         if pushed {
-            let warmth = self.member.model.borrow().warmth();
-            let what = format!("server {} at warmth {warmth:.2}", self.member.number);
-            self.broke(now, Rule::PushedOver, known.flow, what);
-            self.member.die(now);
+            let warmth = self.member().model.borrow().warmth();
+            let what = format!("server {} at warmth {warmth:.2}", self.member().number);
+            self.broke(Rule::PushedOver, known.flow, what);
+            self.member().die(now);
         }
         pushed
     }
 
     /// Gives the model its job; the error says how the attempt ends where the server turns it away.
     fn begin(&self, known: Known, work: f64, now: f64) -> Result<(u64, oneshot::Receiver<Done>), AttemptEnd> {
-        if self.crowded {
+        if self.connection.crowded {
             return Err(AttemptEnd::Crowded);
         }
-        let error = self.draw(known, 5) < self.member.model.borrow().plan.error_rate;
+        let error = self.draw(known, 5) < self.member().model.borrow().plan.error_rate;
         let key = self.arrival(known).key;
-        let begun = self.member.begin(now, |id| Job { id, work, key, error });
+        let begun = self.member().begin(now, |id| Job { id, work, key, error });
         let begun = begun.map_err(|why| match why {
             TurnedAway::Full => AttemptEnd::Full,
             TurnedAway::Draining | TurnedAway::Down => AttemptEnd::Draining,
         })?;
         let place = {
-            let model = self.member.model.borrow();
+            let model = self.member().model.borrow();
             Place { zone: model.plan.zone, cell: model.plan.cell }
         };
-        self.world.ledger.borrow_mut().ran(&self.world.plan, now, known.attempt, place);
+        self.ledger().ran(&self.environment().plan, now, known.attempt, place);
         Ok(begun)
     }
 
     /// Says that the request was not started; false where the connection ends.
     async fn turn_away(&self, wire: &mut Wire<F::Stream>, known: Known, why: AttemptEnd, now: f64) -> bool {
-        self.world.ledger.borrow_mut().attempt_ended(now, known.attempt, why);
-        self.world.sleep(self.way).await;
+        self.ledger().attempt_ended(now, known.attempt, why);
+        self.environment().clock.sleep(self.way).await;
         let mut headers = vec![("not-started", "1".to_owned())];
-        if self.crowded {
+        if self.connection.crowded {
             headers.push(("connection", "close".into()));
         }
-        wire.write(&answer_bytes(503, &headers, b"")).await.is_ok() && !self.crowded
+        wire.write(&answer_bytes(503, &headers, b"")).await.is_ok() && !self.connection.crowded
     }
 
     /// Waits until the job has ended; `None` where its sidecar hung up or its server went down before.
@@ -191,22 +200,22 @@
     }
 
     fn hung_up(&self, known: Known, job: u64, work: f64) {
-        let now = self.world.now();
-        let dropped = self.member.with(now, |m| m.hang_up(job));
-        let mut ledger = self.world.ledger.borrow_mut();
+        let now = self.environment().clock.now();
+        let dropped = self.member().with(now, |m| m.hang_up(job));
+        let mut ledger = self.ledger();
         ledger.attempt_ended(now, known.attempt, AttemptEnd::HungUp);
         ledger.work.1 += if dropped { 0.0 } else { work };
     }
 
     /// The answer to a job that has ended: good, an error, or spoilt.
     fn answer_to(&self, known: Known, done: Done) -> Vec<u8> {
-        let now = self.world.now();
+        let now = self.environment().clock.now();
         if done.error {
-            self.world.ledger.borrow_mut().attempt_ended(now, known.attempt, AttemptEnd::Error);
+            self.ledger().attempt_ended(now, known.attempt, AttemptEnd::Error);
             return answer_bytes(500, &[], b"error\n");
         }
         let body = self.body(known);
-        let spoil = self.spoil(known, now);
+        let spoil = self.spoil(known);
         self.book_answer(known, now, spoil, &body);
         spoil.map_or_else(|| self.good(&body), |s| s.bytes(&body))
     }
@@ -215,21 +224,21 @@
         Bytes::from(format!(
             "{{\"id\":\"{:016x}\",\"server\":\"{}\",\"attempt\":{},\"price\":{:.2},\"valid\":true}}\n",
             known.id,
-            self.member.model.borrow().plan.id,
+            self.member().model.borrow().plan.id,
             known.attempt.1,
             self.draw(known, 6) * 1000.0
         ))
     }
 
     /// How the answer is spoilt, if it is.
-    fn spoil(&self, known: Known, now: f64) -> Option<Spoil> {
+    fn spoil(&self, known: Known) -> Option<Spoil> {
         let kinds = spoil::ALL;
         let kind = (self.draw(known, 8) * kinds.len() as f64) as usize % kinds.len();
-        (self.draw(known, 7) < self.world.spoilt_share(now)).then(|| kinds[kind])
+        (self.draw(known, 7) < self.connection.fleet.spoilt_share()).then(|| kinds[kind])
     }
 
     fn book_answer(&self, known: Known, now: f64, spoil: Option<Spoil>, body: &Bytes) {
-        let mut ledger = self.world.ledger.borrow_mut();
+        let mut ledger = self.ledger();
         if let Some(spoil) = spoil {
             *ledger.spoilt.entry(format!("{spoil:?}")).or_default() += 1;
         }
@@ -242,8 +251,10 @@
     }
 
     fn good(&self, body: &Bytes) -> Vec<u8> {
-        let reports = self.world.plan.day.server.report_in_answers;
-        let report = reports.then(|| ("server-load", self.member.report(self.world)));
+        let plan = &self.environment().plan;
+        let reports = plan.day.server.report_in_answers;
+        let report =
+            reports.then(|| ("server-load", self.member().report(self.environment().clock.now(), plan.seed)));
         answer_bytes(200, report.as_slice(), body)
     }
 }
--- a/crates/emulator/src/world/config.rs
+++ b/crates/emulator/src/world/config.rs
@@ -2,7 +2,6 @@
 
 use super::World;
 use crate::day::{Class, Effect, Limits, Tenant};
-use crate::discovery;
 use crate::fabric::Fabric;
 use crate::plan::{hashed, Plan};
 use serde_json::{json, Value};
@@ -17,7 +16,7 @@
     pub fn config(&self, sidecar: usize, start: u64) -> Value {
         let plan = &self.plan;
         let limits = &plan.day.limits;
-        let (_, moves) = *self.registry.state.borrow();
+        let (_, moves) = *self.discovery.registry.state.borrow();
         let seed = (hashed(plan.seed, &[43, sidecar as u64, start]) * (1_u64 << 53) as f64) as u64;
         json!({
             "name": plan.sidecars[sidecar].name,
@@ -25,7 +24,7 @@
             "discovery": self.environment.addresses.discovery(sidecar, moves).to_string(),
             "seed": format!("{seed:x}"),
             "limits": {"cores": 1.0, "memory_mb": limits.memory_mb, "sockets": limits.sockets},
-            "known": discovery::told(self, sidecar, None),
+            "known": self.discovery.told(sidecar, None),
             "settings": settings(plan, sidecar),
         })
     }
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -12,13 +12,12 @@
 
 use crate::applications::Applications;
 use crate::client::Clients;
-use crate::day::TroubleKind;
-use crate::discovery::{self, Registry};
+use crate::discovery;
 use crate::environment::Environment;
 use crate::fabric::Fabric;
-use crate::fleet::{Member, Members};
+use crate::fleet::{Fleet, Member, Members};
 use crate::ledger::Ledger;
-use crate::plan::{factor, hashed, Plan};
+use crate::plan::Plan;
 use crate::rude::BadClients;
 use crate::server::Server;
 use servers::server_seed;
@@ -32,8 +31,8 @@
     pub environment: Rc<Environment<F>>,
     /// The day's draw.
     pub plan: Rc<Plan>,
-    /// The list.
-    pub registry: Registry,
+    /// The list, and who tells it.
+    discovery: Rc<discovery::Service<F>>,
     /// The books.
     pub ledger: Rc<RefCell<Ledger>>,
     /// The fleet by second.
@@ -41,12 +40,12 @@
     /// Mean work of the day's requests.
     mean_work: f64,
     members: Rc<Members>,
+    fleet: Rc<Fleet<F>>,
     applications: Rc<Applications>,
     bad_clients: Rc<BadClients<F>>,
     /// The clients of the day.
     pub clients: Rc<Clients<F>>,
     sidecars: Rc<dyn Sidecars>,
-    draws: Cell<u64>,
     ending: Cell<bool>,
 }
 
@@ -70,16 +69,16 @@
         let applications = Rc::new(Applications::new(count));
         let plan = environment.plan.clone();
         Rc::new(World {
-            registry: Registry::default(),
+            discovery: discovery::Service::new(environment.clone(), members.clone()),
             ledger: environment.ledger.clone(),
             samples: RefCell::default(),
             mean_work,
             clients: Clients::new(environment.clone(), applications.clone(), members.clone()),
             members,
+            fleet: Fleet::new(environment.clone()),
             bad_clients: BadClients::new(environment.clone(), applications.clone()),
             applications,
             sidecars,
-            draws: Cell::new(0),
             ending: Cell::new(false),
             environment,
             plan,
@@ -121,20 +120,6 @@
         self.members.all()
     }
 
-    /// One way between a sidecar and a server, this time (ms).
-    pub fn one_way(&self, sidecar: usize, member: &Member) -> f64 {
-        let (same, cross, jitter) = self.plan.network;
-        let near = self.plan.sidecars[sidecar].zone == member.model.borrow().plan.zone;
-        self.draws.set(self.draws.get() + 1);
-        let draw = hashed(self.plan.seed, &[42, self.draws.get()]);
-        (if near { same } else { cross }) * factor(jitter, draw)
-    }
-
-    /// Share of the answers that is spoilt now.
-    pub fn spoilt_share(&self, now: f64) -> f64 {
-        self.plan.active(TroubleKind::Garble, now - self.day_start()).map(|t| t.part).sum()
-    }
-
     /// Plays the day to its end. The error says why it could not begin.
     pub async fn play(self: &Rc<Self>) -> Result<(), String> {
         self.open();
@@ -160,11 +145,9 @@
 
     /// Servers and discovery begin to listen.
     fn open(self: &Rc<Self>) {
-        let members = self.members();
-        self.registry.begin(&members);
-        members.iter().for_each(|member| self.serve(member));
+        self.members().iter().for_each(|member| self.fleet.serve(member));
         for sidecar in 0..self.plan.sidecars.len() {
-            spawn_local(discovery::listen(self.clone(), sidecar));
+            spawn_local(self.discovery.clone().listen(sidecar));
         }
     }
 }
--- a/crates/emulator/src/world/servers.rs
+++ b/crates/emulator/src/world/servers.rs
@@ -4,7 +4,7 @@
 use crate::day::TroubleKind;
 use crate::discovery::Said;
 use crate::fabric::Fabric;
-use crate::fleet::{self, Member};
+use crate::fleet::Member;
 use crate::plan::{hashed, Plan};
 use crate::server::{Phase, Server};
 use std::rc::Rc;
@@ -21,7 +21,7 @@
 impl<F: Fabric> World<F> {
     /// Announces something to the list: it shows there after its delay, and later while the list is stale.
     pub(super) fn announce(self: &Rc<Self>, server: usize, said: Said, delay: f64) {
-        let number = self.registry.announce(server);
+        let number = self.discovery.registry.announce(server);
         let world = self.clone();
         let up_since = self.environment.clock.unix_now();
         spawn_local(async move {
@@ -31,7 +31,7 @@
                 .map(|t| t.size * 1e3)
                 .sum();
             world.sleep(delay + stale).await;
-            if world.registry.apply(server, number, said, up_since) {
+            if world.discovery.registry.apply(server, number, said, up_since) {
                 world.ledger.borrow_mut().list_has(world.now(), server, said == Said::InService);
             }
         });
@@ -39,8 +39,7 @@
 
     /// A server's process starts, cold.
     pub(super) fn start_server(self: &Rc<Self>, member: &Rc<Member>) {
-        self.draws.set(self.draws.get() + 1);
-        member.start(self.now(), self.draws.get());
+        member.start(self.now(), self.fleet.next_draw());
         self.announce(member.number, Said::InService, self.plan.discovery.add);
     }
 
@@ -62,14 +61,7 @@
         let member = Member::new(number, place.unwrap_or(number), model);
         self.members.push(member.clone());
         member.with(self.now(), |m| m.start(self.now()));
-        self.serve(&member);
+        self.fleet.serve(&member);
         self.announce(number, Said::InService, self.plan.discovery.add);
     }
-
-    pub(super) fn serve(self: &Rc<Self>, member: &Rc<Member>) {
-        spawn_local(fleet::keep_going(self.clone(), member.clone()));
-        for sidecar in 0..self.plan.sidecars.len() {
-            spawn_local(fleet::listen(self.clone(), member.clone(), sidecar));
-        }
-    }
 }
--- a/crates/emulator/src/world/troubles.rs
+++ b/crates/emulator/src/world/troubles.rs
@@ -37,10 +37,10 @@
             }
             TroubleKind::Shrink => self.shrink(&trouble, met).await,
             TroubleKind::DiscoveryDown => {
-                let (_, moves) = *self.registry.state.borrow();
-                self.registry.state.send_replace((false, moves));
+                let (_, moves) = *self.discovery.registry.state.borrow();
+                self.discovery.registry.state.send_replace((false, moves));
                 self.until(until).await;
-                self.registry.state.send_replace((true, moves));
+                self.discovery.registry.state.send_replace((true, moves));
             }
             TroubleKind::Churn => self.churn(&trouble, until).await,
             TroubleKind::Rude => {
@@ -95,8 +95,8 @@
         let times = trouble.size.max(1.0) as usize;
         let step = (trouble.until - trouble.from) / times as f64;
         for _ in 0..times {
-            let (runs, moves) = *self.registry.state.borrow();
-            self.registry.state.send_replace((runs, moves + 1));
+            let (runs, moves) = *self.discovery.registry.state.borrow();
+            self.discovery.registry.state.send_replace((runs, moves + 1));
             self.reload_sidecars();
             self.sleep(step).await;
         }
