--- a/crates/emulator/src/day/checks.rs
+++ b/crates/emulator/src/day/checks.rs
@@ -1,13 +1,13 @@
-//! What of a day can't be played, each fault with its key.
+//! What of a day can't be played, each problem with its key.
 
-use super::{Class, Day, Kind, Trouble};
+use super::{Class, Day, Fault, Kind};
 
-/// The faults found so far.
+/// The problems found so far.
 #[derive(Default)]
-struct Faults(Vec<String>);
+struct Problems(Vec<String>);
 
-impl Faults {
-    /// Notes a fault where something is not fine.
+impl Problems {
+    /// Notes a problem where something is not fine.
     fn want(&mut self, fine: bool, say: impl Into<String>) {
         if !fine {
             self.0.push(say.into());
@@ -68,36 +68,36 @@
         self.want(share.low > 0.0 && share.high <= 1.0, "clients.try_share is not above 0 and up to 1");
     }
 
-    fn trouble(&mut self, number: usize, trouble: &Trouble, zones: usize) {
-        let key = format!("trouble {} ({:?})", number + 1, trouble.kind);
-        self.want(trouble.at_s.low >= 0.0, format!("{key}: at_s is negative"));
-        self.want(trouble.len_s.low >= 0.0, format!("{key}: len_s is negative"));
-        self.want(trouble.size.low >= 0.0, format!("{key}: size is negative"));
-        let part = trouble.part;
+    fn fault(&mut self, number: usize, fault: &Fault, zones: usize) {
+        let key = format!("trouble {} ({:?})", number + 1, fault.kind);
+        self.want(fault.at_s.low >= 0.0, format!("{key}: at_s is negative"));
+        self.want(fault.len_s.low >= 0.0, format!("{key}: len_s is negative"));
+        self.want(fault.size.low >= 0.0, format!("{key}: size is negative"));
+        let part = fault.part;
         self.want(part.low >= 0.0 && part.high <= 1.0, format!("{key}: part is not from 0 to 1"));
-        let zone = trouble.zone.unwrap_or(0);
+        let zone = fault.zone.unwrap_or(0);
         self.want(zone < zones, format!("{key}: zone {zone} is not there"));
     }
 }
 
 impl Day {
     /// Everything in it that can't be played.
-    pub fn faults(&self) -> Vec<String> {
-        let mut faults = Faults::default();
-        faults.want(!self.name.is_empty(), "name is empty");
+    pub fn problems(&self) -> Vec<String> {
+        let mut problems = Problems::default();
+        problems.want(!self.name.is_empty(), "name is empty");
         let length = self.length_s;
         let fine = (1.0..=3600.0).contains(&length);
-        faults.want(fine, format!("length_s is not from 1 to 3600: {length}"));
-        faults.fleet(self);
-        faults.shares("kind.share", self.kinds.iter().map(|k| k.share));
-        faults.shares("class.share", self.classes.iter().map(|c| c.share));
-        faults.shares("tenant.share", self.tenants.iter().map(|t| t.share));
-        self.kinds.iter().for_each(|kind| faults.kind(kind));
-        self.classes.iter().for_each(|class| faults.class(class));
-        faults.limits_and_load(self);
-        for (number, trouble) in self.troubles.iter().enumerate() {
-            faults.trouble(number, trouble, self.fleet.zones.len());
+        problems.want(fine, format!("length_s is not from 1 to 3600: {length}"));
+        problems.fleet(self);
+        problems.shares("kind.share", self.kinds.iter().map(|k| k.share));
+        problems.shares("class.share", self.classes.iter().map(|c| c.share));
+        problems.shares("tenant.share", self.tenants.iter().map(|t| t.share));
+        self.kinds.iter().for_each(|kind| problems.kind(kind));
+        self.classes.iter().for_each(|class| problems.class(class));
+        problems.limits_and_load(self);
+        for (number, fault) in self.faults.iter().enumerate() {
+            problems.fault(number, fault, self.fleet.zones.len());
         }
-        faults.0
+        problems.0
     }
 }
--- a/crates/emulator/src/day/trouble.rs
+++ b/crates/emulator/src/day/fault.rs
@@ -6,9 +6,9 @@
 
 figures! {
     /// One thing that goes wrong.
-    Trouble {
+    Fault {
         /// What.
-        kind: TroubleKind = TroubleKind::Burst,
+        kind: FaultKind = FaultKind::Burst,
         /// When (s).
         at_s: Range = Range::one(20.0),
         /// For how long (s).
@@ -29,7 +29,7 @@
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[serde(rename_all = "kebab-case")]
-pub enum TroubleKind {
+pub enum FaultKind {
     /// Traffic times `size`.
     Burst,
     /// `part` of the servers stand still for `size` ms about every second.
--- a/crates/emulator/src/day/mod.rs
+++ b/crates/emulator/src/day/mod.rs
@@ -2,16 +2,20 @@
 
 mod checks;
 mod defaults;
+mod fault;
 mod figures;
 mod fleet;
 mod range;
 mod traffic;
-mod trouble;
 
+/// The former name of [`Fault`].
+pub use fault::Fault as Trouble;
+/// The former name of [`FaultKind`].
+pub use fault::FaultKind as TroubleKind;
+pub use fault::{Fault, FaultKind};
 pub use fleet::{Cancel, Fleet, Kind, ServerFigures};
 pub use range::Range;
 pub use traffic::{Class, Clients, Discovery, Effect, Group, Limits, Load, Network, Tenant};
-pub use trouble::{Trouble, TroubleKind};
 
 use serde::Deserialize;
 use std::path::Path;
@@ -63,10 +67,10 @@
     pub limits: Limits,
     /// What goes wrong, and when.
     #[serde(default, rename = "trouble")]
-    pub troubles: Vec<Trouble>,
+    pub faults: Vec<Fault>,
 }
 
-/// Why a day can't be played: all faults at once, each with its key.
+/// Why a day can't be played: all problems at once, each with its key.
 #[derive(Debug, thiserror::Error)]
 pub enum Faulty {
     /// The file can't be read.
@@ -88,14 +92,14 @@
         Day::read(&name, &text)
     }
 
-    /// Reads a day's text; `name` stands in the faults.
+    /// Reads a day's text; `name` stands in the error.
     pub fn read(name: &str, text: &str) -> Result<Day, Faulty> {
         let day: Day = toml::from_str(text).map_err(|e| Faulty::Unparsable(name.into(), e))?;
-        let faults = day.faults();
-        if faults.is_empty() {
+        let problems = day.problems();
+        if problems.is_empty() {
             Ok(day)
         } else {
-            Err(Faulty::Impossible(name.into(), faults))
+            Err(Faulty::Impossible(name.into(), problems))
         }
     }
 }
--- a/crates/emulator/src/fleet/mod.rs
+++ b/crates/emulator/src/fleet/mod.rs
@@ -9,7 +9,7 @@
 pub use member::{Fate, Member};
 pub use members::Members;
 
-use crate::day::TroubleKind;
+use crate::day::FaultKind;
 use crate::environment::Environment;
 use crate::fabric::Fabric;
 use crate::plan::{factor, hashed};
@@ -50,10 +50,10 @@
         (if near { same } else { cross }) * factor(jitter, draw)
     }
 
-    /// Share of the answers that is spoilt now.
-    fn spoilt_share(&self) -> f64 {
+    /// Share of the answers that is corrupted now.
+    fn corrupted_share(&self) -> f64 {
         let clock = &self.environment.clock;
-        let active = self.environment.plan.active(TroubleKind::Garble, clock.now() - clock.day_start());
+        let active = self.environment.plan.active(FaultKind::Garble, clock.now() - clock.day_start());
         active.map(|t| t.part).sum()
     }
 
--- a/crates/emulator/src/fleet/requests.rs
+++ b/crates/emulator/src/fleet/requests.rs
@@ -2,13 +2,13 @@
 
 use super::connection::Connection;
 use super::Member;
+use crate::corruption::{self, Corruption};
 use crate::environment::Environment;
 use crate::fabric::Fabric;
 use crate::http::{answer_bytes, Request, Wire};
 use crate::ledger::{AttemptEnd, Ledger, Place, Rule};
 use crate::plan::{factor, hashed, Arrival};
 use crate::server::{Done, Job, TurnedAway};
-use crate::spoil::{self, Spoil};
 use bytes::Bytes;
 use std::cell::RefMut;
 use tokio::sync::oneshot;
@@ -90,7 +90,7 @@
         wire.write(&bytes).await.is_ok()
     }
 
-    /// Books the attempt; `None` where no client asked for it.
+    /// Records the attempt; `None` where no client asked for it.
     fn attempt(&self, id: u64, now: f64) -> Option<(usize, usize)> {
         let server = (self.member().number, self.member().place);
         self.ledger().attempt(&self.environment().plan, id, self.connection.sidecar, server, self.came, now)
@@ -207,7 +207,7 @@
         ledger.work.1 += if dropped { 0.0 } else { work };
     }
 
-    /// The answer to a job that has ended: good, an error, or spoilt.
+    /// The answer to a job that has ended: good, an error, or corrupted.
     fn answer_to(&self, known: Known, done: Done) -> Vec<u8> {
         let now = self.environment().clock.now();
         if done.error {
@@ -215,9 +215,9 @@
             return answer_bytes(500, &[], b"error\n");
         }
         let body = self.body(known);
-        let spoil = self.spoil(known);
-        self.book_answer(known, now, spoil, &body);
-        spoil.map_or_else(|| self.good(&body), |s| s.bytes(&body))
+        let corruption = self.corruption(known);
+        self.record_answer(known, now, corruption, &body);
+        corruption.map_or_else(|| self.good(&body), |s| s.bytes(&body))
     }
 
     fn body(&self, known: Known) -> Bytes {
@@ -230,19 +230,19 @@
         ))
     }
 
-    /// How the answer is spoilt, if it is.
-    fn spoil(&self, known: Known) -> Option<Spoil> {
-        let kinds = spoil::ALL;
+    /// How the answer is corrupted, if it is.
+    fn corruption(&self, known: Known) -> Option<Corruption> {
+        let kinds = corruption::ALL;
         let kind = (self.draw(known, 8) * kinds.len() as f64) as usize % kinds.len();
-        (self.draw(known, 7) < self.connection.fleet.spoilt_share()).then(|| kinds[kind])
+        (self.draw(known, 7) < self.connection.fleet.corrupted_share()).then(|| kinds[kind])
     }
 
-    fn book_answer(&self, known: Known, now: f64, spoil: Option<Spoil>, body: &Bytes) {
+    fn record_answer(&self, known: Known, now: f64, corruption: Option<Corruption>, body: &Bytes) {
         let mut ledger = self.ledger();
-        if let Some(spoil) = spoil {
-            *ledger.spoilt.entry(format!("{spoil:?}")).or_default() += 1;
+        if let Some(corruption) = corruption {
+            *ledger.spoilt.entry(format!("{corruption:?}")).or_default() += 1;
         }
-        let good = spoil.is_none_or(Spoil::good);
+        let good = corruption.is_none_or(Corruption::is_valid);
         let end = if good { AttemptEnd::Served } else { AttemptEnd::Spoilt };
         ledger.attempt_ended(now, known.attempt, end);
         if good {
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,5 +1,5 @@
 //! A model of what the sidecar lives among: config servers, clients, discovery and the network, with
-//! troubles on a timeline and oracles that watch the rules.
+//! faults on a timeline and oracles that watch the rules.
 //!
 //! It is written from the platform's public pages and knows nothing of the decision module. A [`day::Day`]
 //! is a file; [`plan::Plan`] is one draw from it by one seed, arrivals included; [`world::World`] plays it
@@ -15,6 +15,7 @@
 pub mod applications;
 pub mod client;
 pub mod clock;
+pub mod corruption;
 pub mod day;
 pub mod discovery;
 pub mod environment;
@@ -23,9 +24,8 @@
 pub mod http;
 pub mod ledger;
 pub mod memory;
+pub mod misbehaving;
 pub mod plan;
 pub mod result;
-pub mod rude;
 pub mod server;
-pub mod spoil;
 pub mod world;
--- a/crates/emulator/src/rude.rs
+++ b/crates/emulator/src/misbehaving.rs
@@ -1,4 +1,4 @@
-//! Bad clients: what they send, and what they are owed (an error or a close, in time).
+//! Misbehaving clients: what they send, and what they are owed (an error or a close, in time).
 
 use crate::applications::Applications;
 use crate::environment::Environment;
@@ -10,11 +10,11 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout_at;
 
-/// How long a bad client may be left without an error or a close (ms).
-const OWED: f64 = 3_000.0;
+/// How long a misbehaving client may be left without an error or a close (ms).
+const ANSWER_LIMIT: f64 = 3_000.0;
 
 /// What they send, by turns. None of it can be a request that is served.
-const BAD: [&str; 14] = [
+const MALFORMED: [&str; 14] = [
     "\0\x01\x02\x03 what is this\r\n\r\n",
     "GET /quote HTTP/1.1\r\nHost: x\r\nX-Endless: ",
     "POST /place-order HTTP/1.1\r\nHost: x\r\nRequest-Id: bad1\r\nContent-Length: -5\r\n\r\nhello",
@@ -32,19 +32,19 @@
 ];
 
 /// Clients that send what can't be served.
-pub struct BadClients<F: Fabric> {
+pub struct MisbehavingClients<F: Fabric> {
     environment: Rc<Environment<F>>,
     applications: Rc<Applications>,
 }
 
-impl<F: Fabric> BadClients<F> {
-    /// Bad clients beside these applications.
-    pub fn new(environment: Rc<Environment<F>>, applications: Rc<Applications>) -> Rc<BadClients<F>> {
-        Rc::new(BadClients { environment, applications })
+impl<F: Fabric> MisbehavingClients<F> {
+    /// Misbehaving clients beside these applications.
+    pub fn new(environment: Rc<Environment<F>>, applications: Rc<Applications>) -> Rc<MisbehavingClients<F>> {
+        Rc::new(MisbehavingClients { environment, applications })
     }
 
-    /// Sends bad requests to one sidecar, about so many a second, until a time (ms).
-    pub async fn annoy(self: Rc<Self>, sidecar: usize, rate: f64, until: f64) {
+    /// Sends malformed requests to one sidecar, about so many a second, until a time (ms).
+    pub async fn send_until(self: Rc<Self>, sidecar: usize, rate: f64, until: f64) {
         let clock = &self.environment.clock;
         let mut number = 0_u64;
         while clock.now() < until && rate > 0.0 {
@@ -57,14 +57,14 @@
         }
     }
 
-    /// Sends one bad request and judges what comes back.
+    /// Sends one malformed request and judges what comes back.
     async fn send(self: Rc<Self>, sidecar: usize, number: u64) {
         let environment = &self.environment;
-        let text = BAD[number as usize % BAD.len()];
+        let text = MALFORMED[number as usize % MALFORMED.len()];
         let (kills, began) = (self.applications.kills(sidecar), environment.clock.now());
         let Ok(stream) = environment.connect(sidecar).await else { return };
         environment.ledger.borrow_mut().bad.0 += 1;
-        let limit = environment.clock.instant(began + OWED + environment.plan.day.limits.slack_ms);
+        let limit = environment.clock.instant(began + ANSWER_LIMIT + environment.plan.day.limits.slack_ms);
         let answer = timeout_at(limit, exchange(stream, text)).await;
         let excused = self.applications.excused(sidecar, kills);
         match answer {
--- a/crates/emulator/src/plan/arrivals.rs
+++ b/crates/emulator/src/plan/arrivals.rs
@@ -1,9 +1,9 @@
 //! Arrivals: a Poisson stream whose rate swings and bursts, drawn before the day begins.
 
+use super::faults::ScheduledFault;
 use super::random::{pick, Draws, Purpose};
 use super::servers::{capacity_of, ServerPlan, SidecarPlan};
-use super::troubles::TroublePlan;
-use crate::day::{Class, Day, TroubleKind};
+use crate::day::{Class, Day, FaultKind};
 use rand::Rng;
 use rand_distr::{Distribution, Exp, LogNormal, Zipf};
 use std::f64::consts::TAU;
@@ -45,15 +45,15 @@
     phase: f64,
     /// Length of the day (ms).
     length: f64,
-    bursts: Vec<&'a TroublePlan>,
+    bursts: Vec<&'a ScheduledFault>,
 }
 
 impl<'a> Rate<'a> {
     /// Draws it; `most` is what the warm fleet could do (requests a second).
-    fn draw(day: &Day, most: f64, troubles: &'a [TroublePlan], d: &mut Draws) -> Rate<'a> {
+    fn draw(day: &Day, most: f64, faults: &'a [ScheduledFault], d: &mut Draws) -> Rate<'a> {
         let base = day.load.rate.unwrap_or(most * d.of(day.load.of_capacity));
         let (swing, phase) = (d.of(day.load.swing), d.0.random::<f64>());
-        let bursts = troubles.iter().filter(|t| t.kind == TroubleKind::Burst).collect();
+        let bursts = faults.iter().filter(|t| t.kind == FaultKind::Burst).collect();
         Rate { base, swing, phase, length: day.length_s * 1e3, bursts }
     }
 
@@ -150,14 +150,14 @@
     seed: u64,
     servers: &[ServerPlan],
     sidecars: &[SidecarPlan],
-    troubles: &[TroublePlan],
+    faults: &[ScheduledFault],
 ) -> (Vec<f64>, Vec<Arrival>) {
     // The order of the draws is part of every day.
     let mut d = Draws::new(seed, Purpose::Arrivals);
     let tenants = tenant_use(day, &mut d);
     let works = day.classes.iter().map(|c| works(c, &mut d)).collect();
     let most = capacity_of(servers) / mean_work(day) * 1e3;
-    let rate = Rate::draw(day, most, troubles, &mut d);
+    let rate = Rate::draw(day, most, faults, &mut d);
     let keys = popularity(day, &mut d);
     let mut quotas = Quotas::new(day, d.of(day.load.quota_of_capacity) * most);
     let class_sum: f64 = day.classes.iter().map(|c| c.share).sum();
--- a/crates/emulator/src/plan/troubles.rs
+++ b/crates/emulator/src/plan/faults.rs
@@ -1,14 +1,14 @@
 //! Troubles as a draw has them.
 
 use super::random::{Draws, Purpose};
-use crate::day::{Day, Trouble, TroubleKind};
+use crate::day::{Day, Fault, FaultKind};
 use rand::Rng;
 
-/// A trouble with its figures drawn.
+/// A fault with its figures drawn.
 #[derive(Clone, Debug)]
-pub struct TroublePlan {
+pub struct ScheduledFault {
     /// What.
-    pub kind: TroubleKind,
+    pub kind: FaultKind,
     /// From when until when (ms).
     pub from: f64,
     /// Its end (ms).
@@ -27,16 +27,16 @@
     pub order: Vec<usize>,
 }
 
-/// Draws the day's troubles, in the order of the file.
-pub(super) fn troubles(day: &Day, seed: u64, servers: usize, sidecars: usize) -> Vec<TroublePlan> {
-    let mut d = Draws::new(seed, Purpose::Troubles);
-    let draw = |t: &Trouble| {
+/// Draws the day's faults, in the order of the file.
+pub(super) fn faults(day: &Day, seed: u64, servers: usize, sidecars: usize) -> Vec<ScheduledFault> {
+    let mut d = Draws::new(seed, Purpose::Faults);
+    let draw = |t: &Fault| {
         let from = d.of(t.at_s) * 1e3;
         let until = from + d.of(t.len_s) * 1e3;
-        let of_sidecars = matches!(t.kind, TroubleKind::Restart | TroubleKind::Kill | TroubleKind::Rude);
+        let of_sidecars = matches!(t.kind, FaultKind::Restart | FaultKind::Kill | FaultKind::Rude);
         let order = d.order(if of_sidecars { sidecars } else { servers });
         let drawn = d.0.random_range(0..day.fleet.zones.len());
-        TroublePlan {
+        ScheduledFault {
             kind: t.kind,
             from,
             until,
@@ -48,5 +48,5 @@
             order,
         }
     };
-    day.troubles.iter().map(draw).collect()
+    day.faults.iter().map(draw).collect()
 }
--- a/crates/emulator/src/plan/mod.rs
+++ b/crates/emulator/src/plan/mod.rs
@@ -4,21 +4,23 @@
 //! numbers of its own: a change of one leaves the others as they were.
 
 mod arrivals;
+mod faults;
 mod random;
 mod servers;
-mod troubles;
 
 pub use arrivals::Arrival;
+pub use faults::ScheduledFault;
+/// The former name of [`ScheduledFault`].
+pub use faults::ScheduledFault as TroublePlan;
 pub use random::{factor, hashed, stream, Purpose};
 pub use servers::{Choke, ServerPlan, SidecarPlan};
-pub use troubles::TroublePlan;
 
-use crate::day::{Class, Day, Effect, TroubleKind};
+use crate::day::{Class, Day, Effect, FaultKind};
 use arrivals::arrivals;
+use faults::faults;
 use rand::Rng;
 use random::{pick, Draws};
 use servers::{capacity_of, server, sidecars};
-use troubles::troubles;
 
 /// Clients' figures of the day.
 #[derive(Clone, Copy, Debug)]
@@ -63,8 +65,8 @@
     pub quotas: Vec<f64>,
     /// Arrivals in order of time.
     pub arrivals: Vec<Arrival>,
-    /// Troubles in the order of the file.
-    pub troubles: Vec<TroublePlan>,
+    /// Faults in the order of the file.
+    pub troubles: Vec<ScheduledFault>,
     /// Clients' figures.
     pub clients: ClientPlan,
     /// Discovery's figures.
@@ -105,10 +107,10 @@
     pub fn draw(day: &Day, seed: u64) -> Plan {
         let servers = servers::servers(day, seed);
         let sidecars = sidecars(day, seed);
-        let troubles = troubles(day, seed, servers.len(), sidecars.len());
+        let faults = faults(day, seed, servers.len(), sidecars.len());
         let clients = ClientPlan::draw(day, seed);
         let (discovery, network) = discovery_and_network(day, seed);
-        let (quotas, arrivals) = arrivals(day, seed, &servers, &sidecars, &troubles);
+        let (quotas, arrivals) = arrivals(day, seed, &servers, &sidecars, &faults);
         Plan {
             day: day.clone(),
             seed,
@@ -116,7 +118,7 @@
             sidecars,
             quotas,
             arrivals,
-            troubles,
+            troubles: faults,
             clients,
             discovery,
             network,
@@ -142,8 +144,8 @@
         capacity_of(&self.servers)
     }
 
-    /// The troubles of a kind at a time of the day (ms).
-    pub fn active(&self, kind: TroubleKind, at: f64) -> impl Iterator<Item = &TroublePlan> {
+    /// The faults of a kind at a time of the day (ms).
+    pub fn active(&self, kind: FaultKind, at: f64) -> impl Iterator<Item = &ScheduledFault> {
         self.troubles.iter().filter(move |t| t.kind == kind && (t.from..t.until).contains(&at))
     }
 
--- a/crates/emulator/src/plan/random.rs
+++ b/crates/emulator/src/plan/random.rs
@@ -13,8 +13,8 @@
     Sidecars,
     /// Arrivals.
     Arrivals,
-    /// Troubles.
-    Troubles,
+    /// Faults.
+    Faults,
     /// Clients' figures.
     Clients,
     /// Discovery's figures.
--- a/crates/emulator/src/server/mod.rs
+++ b/crates/emulator/src/server/mod.rs
@@ -61,7 +61,7 @@
     crowding: Crowding,
     paused_until: f64,
     next_pause: f64,
-    /// Times slower by a trouble.
+    /// Times slower by a fault.
     pub slowed: f64,
     /// Open connections.
     pub conns: usize,
--- a/crates/emulator/src/world/troubles.rs
+++ b/crates/emulator/src/world/faults.rs
@@ -1,72 +1,72 @@
 //! What goes wrong on the day, played at its time.
 
 use super::World;
-use crate::day::TroubleKind;
+use crate::day::FaultKind;
 use crate::discovery::Said;
 use crate::fabric::Fabric;
 use crate::fleet::{Fate, Member};
-use crate::plan::{hashed, TroublePlan};
+use crate::plan::{hashed, ScheduledFault};
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
 impl<F: Fabric> World<F> {
-    /// Plays one trouble.
-    pub(super) async fn trouble(self: Rc<Self>, number: usize) {
-        let trouble = self.plan.troubles[number].clone();
-        self.until(self.day_at(trouble.from)).await;
-        let until = self.day_at(trouble.until);
-        let some = ((trouble.order.len() as f64 * trouble.part).ceil() as usize).min(trouble.order.len());
-        let met = &trouble.order[..some];
-        match trouble.kind {
+    /// Plays one fault.
+    pub(super) async fn fault(self: Rc<Self>, number: usize) {
+        let fault = self.plan.troubles[number].clone();
+        self.until(self.day_at(fault.from)).await;
+        let until = self.day_at(fault.until);
+        let some = ((fault.order.len() as f64 * fault.part).ceil() as usize).min(fault.order.len());
+        let met = &fault.order[..some];
+        match fault.kind {
             // They lie in the arrivals, the answers and the list.
-            TroubleKind::Burst | TroubleKind::Garble | TroubleKind::Stale => {}
-            TroubleKind::Pauses => self.pauses(&trouble, number, met, until).await,
-            TroubleKind::Slow => {
-                self.slow(met, trouble.size.max(1.0));
+            FaultKind::Burst | FaultKind::Garble | FaultKind::Stale => {}
+            FaultKind::Pauses => self.pauses(&fault, number, met, until).await,
+            FaultKind::Slow => {
+                self.slow(met, fault.size.max(1.0));
                 self.until(until).await;
                 self.slow(met, 1.0);
             }
-            TroubleKind::ZoneLoss => {
+            FaultKind::ZoneLoss => {
                 let all = self.members();
-                let lost = all.into_iter().filter(|m| m.model.borrow().plan.zone == trouble.zone).collect();
-                self.lose(&trouble, lost, until).await;
+                let lost = all.into_iter().filter(|m| m.model.borrow().plan.zone == fault.zone).collect();
+                self.lose(&fault, lost, until).await;
             }
-            TroubleKind::Vanish => {
+            FaultKind::Vanish => {
                 let lost = met.iter().map(|s| self.member(*s)).collect();
-                self.lose(&trouble, lost, until).await;
+                self.lose(&fault, lost, until).await;
             }
-            TroubleKind::Shrink => self.shrink(&trouble, met).await,
-            TroubleKind::DiscoveryDown => {
+            FaultKind::Shrink => self.shrink(&fault, met).await,
+            FaultKind::DiscoveryDown => {
                 let (_, moves) = *self.discovery.registry.state.borrow();
                 self.discovery.registry.state.send_replace((false, moves));
                 self.until(until).await;
                 self.discovery.registry.state.send_replace((true, moves));
             }
-            TroubleKind::Churn => self.churn(&trouble, until).await,
-            TroubleKind::Rude => {
+            FaultKind::Churn => self.churn(&fault, until).await,
+            FaultKind::Rude => {
                 for sidecar in met {
-                    spawn_local(self.bad_clients.clone().annoy(*sidecar, trouble.size, until));
+                    spawn_local(self.misbehaving.clone().send_until(*sidecar, fault.size, until));
                 }
             }
-            TroubleKind::Reload => self.reload(&trouble).await,
-            TroubleKind::Restart => {
+            FaultKind::Reload => self.reload(&fault).await,
+            FaultKind::Restart => {
                 for sidecar in met {
                     self.restart(*sidecar).await;
                 }
             }
-            TroubleKind::Kill => self.kill_some(&trouble, met).await,
-            TroubleKind::ServersRestart => self.restart_servers().await,
+            FaultKind::Kill => self.kill_some(&fault, met).await,
+            FaultKind::ServersRestart => self.restart_servers().await,
         }
     }
 
     /// Servers stand still again and again.
-    async fn pauses(&self, trouble: &TroublePlan, number: usize, met: &[usize], until: f64) {
+    async fn pauses(&self, fault: &ScheduledFault, number: usize, met: &[usize], until: f64) {
         let draw = |round: u64| hashed(self.plan.seed, &[45, number as u64, round]);
         let mut round = 0;
         while self.now() < until {
             for server in met {
                 let now = self.now();
-                self.member(*server).with(now, |m| m.pause(now + trouble.size));
+                self.member(*server).with(now, |m| m.pause(now + fault.size));
             }
             round += 1;
             self.sleep(800.0 + 1_200.0 * draw(round)).await;
@@ -81,8 +81,8 @@
     }
 
     /// Servers drain one after another.
-    async fn shrink(self: &Rc<Self>, trouble: &TroublePlan, met: &[usize]) {
-        let step = (trouble.until - trouble.from) / met.len().max(1) as f64;
+    async fn shrink(self: &Rc<Self>, fault: &ScheduledFault, met: &[usize]) {
+        let step = (fault.until - fault.from) / met.len().max(1) as f64;
         for server in met {
             let (world, member) = (self.clone(), self.member(*server));
             spawn_local(async move { world.drain(&member).await });
@@ -91,9 +91,9 @@
     }
 
     /// The configuration is replaced and discovery moves, again and again.
-    async fn reload(&self, trouble: &TroublePlan) {
-        let times = trouble.size.max(1.0) as usize;
-        let step = (trouble.until - trouble.from) / times as f64;
+    async fn reload(&self, fault: &ScheduledFault) {
+        let times = fault.size.max(1.0) as usize;
+        let step = (fault.until - fault.from) / times as f64;
         for _ in 0..times {
             let (runs, moves) = *self.discovery.registry.state.borrow();
             self.discovery.registry.state.send_replace((runs, moves + 1));
@@ -103,15 +103,15 @@
     }
 
     /// Sidecars are killed one after another, and each starts again later.
-    async fn kill_some(self: &Rc<Self>, trouble: &TroublePlan, met: &[usize]) {
+    async fn kill_some(self: &Rc<Self>, fault: &ScheduledFault, met: &[usize]) {
         for sidecar in met.iter().filter(|s| self.applications.asks(**s)) {
-            let (world, sidecar, after) = (self.clone(), *sidecar, trouble.size * 1e3);
+            let (world, sidecar, after) = (self.clone(), *sidecar, fault.size * 1e3);
             world.kill(sidecar);
             spawn_local(async move {
                 world.sleep(after).await;
                 world.begin_again(sidecar).await;
             });
-            self.sleep((trouble.until - trouble.from) / met.len().max(1) as f64).await;
+            self.sleep((fault.until - fault.from) / met.len().max(1) as f64).await;
         }
     }
 
@@ -125,10 +125,10 @@
     }
 
     /// Servers go silent or are reset; with a zone its sidecars may go too. All come back cold.
-    async fn lose(self: &Rc<Self>, trouble: &TroublePlan, lost: Vec<Rc<Member>>, until: f64) {
+    async fn lose(self: &Rc<Self>, fault: &ScheduledFault, lost: Vec<Rc<Member>>, until: f64) {
         let lost: Vec<_> = lost.into_iter().filter(|m| m.in_service()).collect();
         for member in &lost {
-            if trouble.silent {
+            if fault.silent {
                 member.fate.send_replace(Fate::Cut);
             } else {
                 member.die(self.now());
@@ -136,7 +136,7 @@
             self.announce(member.number, Said::Terminated, self.plan.discovery.silent_notice);
         }
         let beside = (0..self.plan.sidecars.len()).filter(|s| {
-            trouble.sidecars && self.plan.sidecars[*s].zone == trouble.zone && self.applications.asks(*s)
+            fault.sidecars && self.plan.sidecars[*s].zone == fault.zone && self.applications.asks(*s)
         });
         let beside: Vec<usize> = beside.collect();
         beside.iter().for_each(|s| self.kill(*s));
@@ -152,8 +152,8 @@
         }
     }
 
-    async fn churn(self: &Rc<Self>, trouble: &TroublePlan, until: f64) {
-        let step = 60_000.0 / trouble.size.max(0.1);
+    async fn churn(self: &Rc<Self>, fault: &ScheduledFault, until: f64) {
+        let step = 60_000.0 / fault.size.max(0.1);
         let mut round = 0;
         while self.now() + step < until {
             let up: Vec<_> = self.members().into_iter().filter(|m| m.in_service()).collect();
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -1,10 +1,10 @@
 //! The world of a day: it starts the sidecars, lets the day happen to them, and ends with its books.
 
 mod config;
+mod faults;
 mod observers;
 mod servers;
 mod sidecars;
-mod troubles;
 
 pub use crate::addresses::Addresses;
 pub use observers::Sample;
@@ -17,8 +17,8 @@
 use crate::fabric::Fabric;
 use crate::fleet::{Fleet, Member, Members};
 use crate::ledger::Ledger;
+use crate::misbehaving::MisbehavingClients;
 use crate::plan::Plan;
-use crate::rude::BadClients;
 use crate::server::Server;
 use servers::server_seed;
 use std::cell::{Cell, RefCell};
@@ -42,7 +42,7 @@
     members: Rc<Members>,
     fleet: Rc<Fleet<F>>,
     applications: Rc<Applications>,
-    bad_clients: Rc<BadClients<F>>,
+    misbehaving: Rc<MisbehavingClients<F>>,
     /// The clients of the day.
     pub clients: Rc<Clients<F>>,
     sidecars: Rc<dyn Sidecars>,
@@ -76,7 +76,7 @@
             clients: Clients::new(environment.clone(), applications.clone(), members.clone()),
             members,
             fleet: Fleet::new(environment.clone()),
-            bad_clients: BadClients::new(environment.clone(), applications.clone()),
+            misbehaving: MisbehavingClients::new(environment.clone(), applications.clone()),
             applications,
             sidecars,
             ending: Cell::new(false),
@@ -128,8 +128,8 @@
         self.environment.clock.begin_day(self.now() + 50.0);
         let watch = spawn_local(self.clone().watch());
         let sample = spawn_local(self.clone().sample());
-        let troubles: Vec<_> =
-            (0..self.plan.troubles.len()).map(|t| spawn_local(self.clone().trouble(t))).collect();
+        let faults: Vec<_> =
+            (0..self.plan.troubles.len()).map(|t| spawn_local(self.clone().fault(t))).collect();
         self.until(self.day_start()).await;
         self.clients.clone().ask().await;
         self.ending.set(true);
@@ -138,7 +138,7 @@
         sample.abort();
         self.compare_books().await;
         watch.abort();
-        troubles.iter().for_each(JoinHandle::abort);
+        faults.iter().for_each(JoinHandle::abort);
         self.expect_ends();
         Ok(())
     }
--- a/crates/emulator/src/world/servers.rs
+++ b/crates/emulator/src/world/servers.rs
@@ -1,7 +1,7 @@
 //! Servers that start, drain, go and are replaced, and what the list is told of them.
 
 use super::World;
-use crate::day::TroubleKind;
+use crate::day::FaultKind;
 use crate::discovery::Said;
 use crate::fabric::Fabric;
 use crate::fleet::Member;
@@ -27,7 +27,7 @@
         spawn_local(async move {
             let stale: f64 = world
                 .plan
-                .active(TroubleKind::Stale, world.now() - world.day_start())
+                .active(FaultKind::Stale, world.now() - world.day_start())
                 .map(|t| t.size * 1e3)
                 .sum();
             world.sleep(delay + stale).await;
--- a/crates/emulator/src/world/sidecars.rs
+++ b/crates/emulator/src/world/sidecars.rs
@@ -130,7 +130,7 @@
     }
 
     pub(super) async fn begin_again(self: &Rc<Self>, sidecar: usize) {
-        // Another trouble may have started it already.
+        // Another fault may have started it already.
         if self.ending.get() || !self.sidecars.ended(sidecar) {
             return;
         }
