--- a/crates/emulator/src/ledger.rs
+++ b/crates/emulator/src/accounting.rs
@@ -1,10 +1,10 @@
-//! The emulator's own books, and the oracles that read them: what was asked, tried, run and answered.
+//! Request accounting, and the oracles that read it: what was asked, tried, run and answered.
 //!
 //! Nothing here comes from a sidecar's counters. A rule that is broken becomes a [`Violation`] at the
 //! moment it shows; the rules are the platform's, with its figures and its slack.
 
-use crate::day::{Effect, Group};
-use crate::plan::Plan;
+use crate::scenario::{Effect, Group};
+use crate::schedule::Schedule;
 use bytes::Bytes;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -45,7 +45,7 @@
     Descriptors,
     /// Memory stays within the limit.
     Memory,
-    /// The sidecar's books agree with the emulator's.
+    /// The sidecar's counters agree with the emulator's.
     Books,
     /// A sidecar never ends by itself.
     Crash,
@@ -185,9 +185,9 @@
     pub cell: u64,
 }
 
-/// The books of a day.
+/// What became of every request, probe and connection of a simulation.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct RequestAccounting {
     /// Tries in the order they were sent.
     pub tries: Vec<Try>,
     by_id: HashMap<u64, usize>,
@@ -222,9 +222,16 @@
     pub spoilt: BTreeMap<String, u64>,
 }
 
-impl Ledger {
-    /// Books a broken rule.
-    pub fn broke(&mut self, at: f64, rule: Rule, sidecar: Option<usize>, flow: Option<usize>, what: String) {
+impl RequestAccounting {
+    /// Records a violation at a time (ms).
+    pub fn record_violation(
+        &mut self,
+        at: f64,
+        rule: Rule,
+        sidecar: Option<usize>,
+        flow: Option<usize>,
+        what: String,
+    ) {
         *self.counts.entry(rule).or_default() += 1;
         if self.violations.len() < KEPT {
             self.violations.push(Violation { at, rule, sidecar, flow, what });
@@ -278,28 +285,34 @@
     /// An attempt has come whole to a server. Its number in the try, or `None` where nobody asked for it.
     pub fn attempt(
         &mut self,
-        plan: &Plan,
+        schedule: &Schedule,
         id: u64,
         sidecar: usize,
         (server, place): (usize, usize),
         came: f64,
         now: f64,
     ) -> Option<(usize, usize)> {
-        let limits = &plan.day.limits;
+        let limits = &schedule.day.limits;
         let Some(at) = self.find(id) else {
-            self.broke(now, Rule::Unknown, Some(sidecar), None, format!("id {id:016x} at server {server}"));
+            self.record_violation(
+                now,
+                Rule::Unknown,
+                Some(sidecar),
+                None,
+                format!("id {id:016x} at server {server}"),
+            );
             return None;
         };
         let (flow, number) = (self.tries[at].flow, self.tries[at].attempts.len());
         if !self.listed.contains(&(sidecar, place)) {
-            self.broke(now, Rule::Unlisted, Some(sidecar), Some(flow), format!("server {server}"));
+            self.record_violation(now, Rule::Unlisted, Some(sidecar), Some(flow), format!("server {server}"));
         }
         let told = self.told.get(&(sidecar, server)).copied();
         let had = self.leaving.get(&server).map(|at| at + limits.told_within_ms);
         let told = told.into_iter().chain(had).fold(f64::INFINITY, f64::min);
         if came > told + limits.drain_grace_ms + limits.slack_ms {
             let after = came - told;
-            self.broke(
+            self.record_violation(
                 now,
                 Rule::PastDrain,
                 Some(sidecar),
@@ -308,7 +321,13 @@
             );
         }
         if number >= limits.max_attempts {
-            self.broke(now, Rule::Attempts, Some(sidecar), Some(flow), format!("attempt {}", number + 1));
+            self.record_violation(
+                now,
+                Rule::Attempts,
+                Some(sidecar),
+                Some(flow),
+                format!("attempt {}", number + 1),
+            );
         }
         let one = &mut self.tries[at];
         let second_copy = one.attempts.iter().any(|a| a.end == AttemptEnd::Open);
@@ -325,12 +344,12 @@
 
     /// A server has taken an attempt in: from here on it may run. A repeat of keyed work does no harm where the
     /// first run is known: in its group, and while that remembers.
-    pub fn ran(&mut self, plan: &Plan, now: f64, (at, number): (usize, usize), place: Place) {
+    pub fn ran(&mut self, schedule: &Schedule, now: f64, (at, number): (usize, usize), place: Place) {
         let one = &mut self.tries[at];
         one.attempts[number].ran = true;
         let (flow, id) = (one.flow, one.id);
-        let arrival = &plan.arrivals[flow];
-        let class = plan.class(arrival);
+        let arrival = &schedule.arrivals[flow];
+        let class = schedule.class(arrival);
         let of = if class.effect == Effect::Keyed { flow as u64 } else { id };
         let ran = self.runs.entry((class.effect, of)).or_insert((place, now, 0));
         ran.2 += 1;
@@ -340,12 +359,12 @@
             Group::Zone => first.zone == place.zone,
             Group::Cell => first.cell == place.cell,
         };
-        let dropped = together && now - since <= class.window_ms + plan.day.limits.slack_ms;
+        let dropped = together && now - since <= class.window_ms + schedule.day.limits.slack_ms;
         let harmless =
             runs == 1 || class.effect == Effect::Safe || (class.effect == Effect::Keyed && dropped);
         if !harmless {
             let what = format!("run {runs} in {place:?}, {:.0} ms after the first in {first:?}", now - since);
-            self.broke(now, Rule::SecondRun, Some(arrival.sidecar), Some(flow), what);
+            self.record_violation(now, Rule::SecondRun, Some(arrival.sidecar), Some(flow), what);
         }
     }
 
@@ -379,7 +398,13 @@
         let before = *most;
         *most = before.max(descriptors);
         if descriptors > limit && before <= limit {
-            self.broke(now, Rule::Descriptors, Some(sidecar), None, format!("{descriptors} of {limit}"));
+            self.record_violation(
+                now,
+                Rule::Descriptors,
+                Some(sidecar),
+                None,
+                format!("{descriptors} of {limit}"),
+            );
         }
     }
 }
--- a/crates/emulator/src/client/exchange.rs
+++ b/crates/emulator/src/client/exchange.rs
@@ -1,12 +1,12 @@
 //! One request to a sidecar: what is written, what comes back, and how it is judged.
 
 use super::Clients;
-use crate::day::Effect;
+use crate::accounting::{Regret, Rule, TryEnd};
 use crate::environment::Environment;
 use crate::fabric::Fabric;
 use crate::http::{Answer, Unread, Wire};
-use crate::ledger::{Regret, Rule, TryEnd};
-use crate::plan::Plan;
+use crate::scenario::Effect;
+use crate::schedule::Schedule;
 
 /// The body of a request that may change something.
 const BODY: &str = "{\"design\":\"W-1200x900\",\"profile\":\"A\"}";
@@ -27,7 +27,7 @@
 impl<'a, F: Fabric> Exchange<'a, F> {
     /// The request of a try.
     pub(super) fn new(clients: &'a Clients<F>, flow: usize, id: u64, at: usize, until: f64) -> Self {
-        let sidecar = clients.environment.plan.arrivals[flow].sidecar;
+        let sidecar = clients.environment.schedule.arrivals[flow].sidecar;
         Exchange { clients, flow, sidecar, id, at, until }
     }
 
@@ -35,24 +35,24 @@
         &self.clients.environment
     }
 
-    fn broke(&self, rule: Rule, what: String) {
-        self.environment().broke(rule, self.sidecar, Some(self.flow), what);
+    fn record_violation(&self, rule: Rule, what: String) {
+        self.environment().record_violation(rule, self.sidecar, Some(self.flow), what);
     }
 
     fn taken(&self) -> bool {
-        self.environment().ledger.borrow().tries[self.at].taken
+        self.environment().accounting.borrow().tries[self.at].taken
     }
 
     fn set_taken(&self, taken: bool) {
-        self.environment().ledger.borrow_mut().tries[self.at].taken = taken;
+        self.environment().accounting.borrow_mut().tries[self.at].taken = taken;
     }
 
     /// Writes the request, waits for its answer, and judges what came.
     pub(super) async fn run(&self) -> (TryEnd, Option<Regret>) {
-        let (plan, clock) = (&self.environment().plan, &self.environment().clock);
+        let (schedule, clock) = (&self.environment().schedule, &self.environment().clock);
         let (kills, sent) = (self.clients.applications.kills(self.sidecar), clock.now());
-        let text = self.text(plan, self.until - sent);
-        let limit = clock.instant(self.until + plan.day.clients.slack_ms);
+        let text = self.text(schedule, self.until - sent);
+        let limit = clock.instant(self.until + schedule.day.clients.slack_ms);
         let exchanged = tokio::time::timeout_at(limit, self.exchange(text.as_bytes())).await;
         let excused = self.clients.applications.excused(self.sidecar, kills);
         match exchanged {
@@ -70,20 +70,21 @@
     }
 
     /// The request as it is written; its client waits so long for it (ms).
-    fn text(&self, plan: &Plan, patience: f64) -> String {
-        let arrival = &plan.arrivals[self.flow];
-        let class = plan.class(arrival);
+    fn text(&self, schedule: &Schedule, patience: f64) -> String {
+        let arrival = &schedule.arrivals[self.flow];
+        let class = schedule.class(arrival);
         let (method, body) = if class.effect == Effect::Safe { ("GET", "") } else { ("POST", BODY) };
         let object = arrival.key.map_or(String::new(), |key| format!("?obj=k{key}"));
         let length =
             if body.is_empty() { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
-        let key = plan.key_of(self.flow).map_or(String::new(), |key| format!("Idempotency-Key: {key}\r\n"));
+        let key =
+            schedule.key_of(self.flow).map_or(String::new(), |key| format!("Idempotency-Key: {key}\r\n"));
         format!(
             "{method} /{name}{object} HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: {id:016x}\r\n\
              Request-Class: {name}\r\nTenant: {tenant}\r\nRequest-Timeout: {wait:.3}\r\n{key}{length}\r\n{body}",
             name = class.name,
             id = self.id,
-            tenant = plan.day.tenants[arrival.tenant].name,
+            tenant = schedule.day.tenants[arrival.tenant].name,
             wait = patience / 1e3,
         )
     }
@@ -123,15 +124,15 @@
 
     /// Nothing came that could be served, which breaks a rule.
     fn nothing(&self, rule: Rule, what: String) -> (TryEnd, Option<Regret>) {
-        self.broke(rule, what);
+        self.record_violation(rule, what);
         (TryEnd::Nothing, None)
     }
 
     /// What an answer is worth, and whether it may be at all.
     fn judge(&self, answer: &Answer) -> (TryEnd, Option<Regret>) {
         let now = self.environment().clock.now();
-        if now > self.until + self.environment().plan.day.clients.slack_ms {
-            self.broke(Rule::Late, format!("{:.0} ms after its time", now - self.until));
+        if now > self.until + self.environment().schedule.day.clients.slack_ms {
+            self.record_violation(Rule::Late, format!("{:.0} ms after its time", now - self.until));
         }
         match answer.status {
             200 => (self.judge_body(&answer.body), None),
@@ -142,12 +143,12 @@
 
     /// Served, if a server has made the body for this request.
     fn judge_body(&self, body: &[u8]) -> TryEnd {
-        let made = self.environment().ledger.borrow().is_made(self.at, body);
+        let made = self.environment().accounting.borrow().is_made(self.at, body);
         if made {
             return TryEnd::Served;
         }
         let begin = String::from_utf8_lossy(&body[..body.len().min(80)]).into_owned();
-        self.broke(Rule::WrongBody, begin);
+        self.record_violation(Rule::WrongBody, begin);
         TryEnd::Failed(200)
     }
 }
--- a/crates/emulator/src/client/mod.rs
+++ b/crates/emulator/src/client/mod.rs
@@ -3,13 +3,13 @@
 mod connections;
 mod exchange;
 
+use crate::accounting::{Regret, TryEnd};
 use crate::applications::Applications;
-use crate::day::Effect;
 use crate::environment::Environment;
 use crate::fabric::Fabric;
 use crate::fleet::Members;
-use crate::ledger::{Regret, TryEnd};
-use crate::plan::hashed;
+use crate::scenario::Effect;
+use crate::schedule::hashed;
 use connections::Connections;
 use exchange::Exchange;
 use std::cell::{Ref, RefCell};
@@ -22,7 +22,7 @@
 /// Tasks of flows that may have ended before they are looked through.
 const OPEN_TASKS: usize = 4096;
 
-/// The clients of a day.
+/// The clients of a scenario.
 pub struct Clients<F: Fabric> {
     environment: Rc<Environment<F>>,
     applications: Rc<Applications>,
@@ -38,8 +38,8 @@
         applications: Rc<Applications>,
         members: Rc<Members>,
     ) -> Rc<Clients<F>> {
-        let plan = &environment.plan;
-        let connections = Connections::new(plan.sidecars.len(), plan.day.limits.sockets);
+        let schedule = &environment.schedule;
+        let connections = Connections::new(schedule.sidecars.len(), schedule.day.limits.sockets);
         Rc::new(Clients { environment, applications, members, connections, unasked: RefCell::default() })
     }
 
@@ -53,11 +53,11 @@
         self.connections.close(sidecar);
     }
 
-    /// Asks for all that the day holds, at its time; returns when the last has its end.
+    /// Asks for all that the scenario holds, at its time; returns when the last has its end.
     pub async fn ask(self: Rc<Self>) {
         let mut open = Vec::new();
         let clock = &self.environment.clock;
-        for (flow, arrival) in self.environment.plan.arrivals.iter().enumerate() {
+        for (flow, arrival) in self.environment.schedule.arrivals.iter().enumerate() {
             clock.until(clock.day_at(arrival.at)).await;
             // The application dies with its sidecar: what it would have asked for is not asked for.
             if !self.applications.asks(arrival.sidecar) {
@@ -76,24 +76,24 @@
 
     /// One flow with all its tries.
     async fn follow(self: Rc<Self>, flow: usize) {
-        let (plan, clock) = (&self.environment.plan, &self.environment.clock);
-        let arrival = &plan.arrivals[flow];
-        let class = plan.class(arrival);
+        let (schedule, clock) = (&self.environment.schedule, &self.environment.clock);
+        let arrival = &schedule.arrivals[flow];
+        let class = schedule.class(arrival);
         let begun = clock.now();
-        let honours = hashed(plan.seed, &[21, flow as u64]) < plan.clients.honour;
-        for number in 0..=plan.clients.retries {
+        let honours = hashed(schedule.seed, &[21, flow as u64]) < schedule.clients.honour;
+        for number in 0..=schedule.clients.retries {
             let left = begun + class.deadline_ms - clock.now();
             if left < LEAST {
                 return;
             }
-            let patience = left.min(class.deadline_ms * plan.clients.try_share);
+            let patience = left.min(class.deadline_ms * schedule.clients.try_share);
             let end = self.attempt(flow, number, patience).await;
             if !may_retry(end, class.effect) || !self.applications.asks(arrival.sidecar) {
                 return;
             }
             let wait = match end {
                 TryEnd::Refused(advice) if honours && advice > 0.0 => advice,
-                _ => plan.clients.backoff,
+                _ => schedule.clients.backoff,
             };
             if wait > 0.0 {
                 clock.sleep(wait).await;
@@ -103,28 +103,28 @@
 
     /// One try, for at most this long (ms): waits for a place, then asks.
     async fn attempt(&self, flow: usize, number: usize, patience: f64) -> TryEnd {
-        let (plan, clock) = (&self.environment.plan, &self.environment.clock);
-        let sidecar = plan.arrivals[flow].sidecar;
+        let (schedule, clock) = (&self.environment.schedule, &self.environment.clock);
+        let sidecar = schedule.arrivals[flow].sidecar;
         // When every connection is busy and the places are taken, a request waits at its client; that time is
         // the client's own.
         let until = clock.now() + patience;
         let place = self.connections.places(sidecar).acquire();
         let place = tokio::time::timeout_at(clock.instant(until - LEAST), place).await;
-        let id = (hashed(plan.seed, &[22, flow as u64, number as u64]) * (1_u64 << 53) as f64) as u64;
-        let at = self.environment.ledger.borrow_mut().begin(id, flow, number, clock.now(), until);
+        let id = (hashed(schedule.seed, &[22, flow as u64, number as u64]) * (1_u64 << 53) as f64) as u64;
+        let at = self.environment.accounting.borrow_mut().begin(id, flow, number, clock.now(), until);
         let (end, regret) = match place {
             Ok(Ok(_place)) => Exchange::new(self, flow, id, at, until).run().await,
             _ => (TryEnd::NoConnection, None),
         };
-        self.environment.ledger.borrow_mut().end(clock.now(), at, end, regret);
+        self.environment.accounting.borrow_mut().end(clock.now(), at, end, regret);
         end
     }
 
     /// What is known of a request that is being refused at this moment.
     fn regret(&self, flow: usize) -> Regret {
-        let (plan, clock) = (&self.environment.plan, &self.environment.clock);
-        let (now, arrival) = (clock.now(), &plan.arrivals[flow]);
-        let left = plan.class(arrival).aim_ms - (now - clock.day_at(arrival.at));
+        let (schedule, clock) = (&self.environment.schedule, &self.environment.clock);
+        let (now, arrival) = (clock.now(), &schedule.arrivals[flow]);
+        let left = schedule.class(arrival).aim_ms - (now - clock.day_at(arrival.at));
         self.members.regret(now, arrival.work, left)
     }
 }
--- a/crates/emulator/src/clock.rs
+++ b/crates/emulator/src/clock.rs
@@ -46,17 +46,17 @@
         self.until(self.now() + millis).await;
     }
 
-    /// Lets the day begin at this time.
+    /// Lets the scenario begin at this time.
     pub fn begin_day(&self, at: f64) {
         self.day_start.set(at);
     }
 
-    /// When the day began.
+    /// When the scenario began.
     pub fn day_start(&self) -> f64 {
         self.day_start.get()
     }
 
-    /// A time of the day as the simulation's.
+    /// A time of the scenario as the simulation's.
     pub fn day_at(&self, at: f64) -> f64 {
         self.day_start.get() + at
     }
--- a/crates/emulator/src/discovery/mod.rs
+++ b/crates/emulator/src/discovery/mod.rs
@@ -50,7 +50,7 @@
         json!({
             "id": model.plan.id,
             "host_port": environment.addresses.server(sidecar, member.place).to_string(),
-            "locality": environment.plan.day.fleet.zones[model.plan.zone],
+            "locality": environment.schedule.day.fleet.zones[model.plan.zone],
             "flavor": model.plan.kind,
             "cell": model.plan.cell,
             "phase": entry.said.word(),
@@ -70,10 +70,10 @@
         let shown: Vec<&Entry> = shown.collect();
         let members: Vec<Value> = shown.iter().map(|e| self.entry(sidecar, e)).collect();
         let now = self.environment.clock.now();
-        let mut ledger = self.environment.ledger.borrow_mut();
+        let mut accounting = self.environment.accounting.borrow_mut();
         for entry in shown {
             let place = self.members.get(entry.server).place;
-            ledger.list_said(now, sidecar, entry.server, place, entry.said == Said::InService);
+            accounting.list_said(now, sidecar, entry.server, place, entry.said == Said::InService);
         }
         let revision = *self.registry.revision.borrow();
         json!({"revision": revision, "complete": after.is_none(), "members": members})
@@ -148,17 +148,17 @@
 
     /// Waits for a call's turn; false where it would wait too long, and fails.
     async fn turn(&self) -> bool {
-        let (clock, call) = (&self.environment.clock, &self.environment.plan.discovery);
+        let (clock, call) = (&self.environment.clock, &self.environment.schedule.discovery);
         let now = clock.now();
         let begins = self.free.get().max(now);
         if begins - now > call.timeout {
             clock.sleep(call.timeout).await;
-            self.environment.ledger.borrow_mut().calls.1 += 1;
+            self.environment.accounting.borrow_mut().calls.1 += 1;
             return false;
         }
         self.free.set(begins + call.call);
         clock.until(begins + call.call).await;
-        self.environment.ledger.borrow_mut().calls.0 += 1;
+        self.environment.accounting.borrow_mut().calls.0 += 1;
         true
     }
 
--- a/crates/emulator/src/environment.rs
+++ b/crates/emulator/src/environment.rs
@@ -1,10 +1,10 @@
-//! What all parties of a simulation share: the network, the draw, the addresses, the clock and the ledger.
+//! What all parties of a simulation share: the network, the schedule, the addresses, the clock and the request accounting.
 
+use crate::accounting::{RequestAccounting, Rule};
 use crate::addresses::Addresses;
 use crate::clock::Clock;
 use crate::fabric::Fabric;
-use crate::ledger::{Ledger, Rule};
-use crate::plan::Plan;
+use crate::schedule::Schedule;
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -13,21 +13,21 @@
 pub struct Environment<F: Fabric> {
     /// What streams are made of.
     pub fabric: F,
-    /// The day's draw.
-    pub plan: Rc<Plan>,
+    /// The schedule of the scenario, as drawn by its seed.
+    pub schedule: Rc<Schedule>,
     /// The addresses of all parties.
     pub addresses: Addresses,
     /// The clock.
     pub clock: Clock,
     /// What was asked, tried, run and answered.
-    pub ledger: Rc<RefCell<Ledger>>,
+    pub accounting: Rc<RefCell<RequestAccounting>>,
 }
 
 impl<F: Fabric> Environment<F> {
     /// An environment at its beginning; `epoch` is the Unix time (ms) that its clock shows then.
-    pub fn new(fabric: F, plan: Plan, addresses: Addresses, epoch: f64) -> Environment<F> {
-        let (plan, clock) = (Rc::new(plan), Clock::new(epoch));
-        Environment { fabric, plan, addresses, clock, ledger: Rc::default() }
+    pub fn new(fabric: F, schedule: Schedule, addresses: Addresses, epoch: f64) -> Environment<F> {
+        let (schedule, clock) = (Rc::new(schedule), Clock::new(epoch));
+        Environment { fabric, schedule, addresses, clock, accounting: Rc::default() }
     }
 
     /// Opens a stream to a sidecar, as its application does.
@@ -35,8 +35,8 @@
         self.fabric.connect(self.addresses.listen(sidecar)).await
     }
 
-    /// Books a rule that a sidecar breaks now, on a flow where there is one.
-    pub fn broke(&self, rule: Rule, sidecar: usize, flow: Option<usize>, what: String) {
-        self.ledger.borrow_mut().broke(self.clock.now(), rule, Some(sidecar), flow, what);
+    /// Records a rule that a sidecar breaks now, on a flow where there is one.
+    pub fn record_violation(&self, rule: Rule, sidecar: usize, flow: Option<usize>, what: String) {
+        self.accounting.borrow_mut().record_violation(self.clock.now(), rule, Some(sidecar), flow, what);
     }
 }
--- a/crates/emulator/src/fleet/connection.rs
+++ b/crates/emulator/src/fleet/connection.rs
@@ -40,7 +40,7 @@
             (m.conns > m.plan.conns.0, m.started())
         });
         let seat = Seat(member.clone(), started);
-        *fleet.environment.ledger.borrow_mut().connections.entry(member.number).or_default() += 1;
+        *fleet.environment.accounting.borrow_mut().connections.entry(member.number).or_default() += 1;
         let connection = Connection { fleet, member, sidecar, crowded };
         let mut wire = Wire::new(stream);
         let ended = tokio::select! {
--- a/crates/emulator/src/fleet/member.rs
+++ b/crates/emulator/src/fleet/member.rs
@@ -1,6 +1,6 @@
 //! A server with what others need of it: its model, its reachability, and who waits for its work.
 
-use crate::plan::hashed;
+use crate::schedule::hashed;
 use crate::server::{Done, Job, Phase, Server, TurnedAway};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/crates/emulator/src/fleet/members.rs
+++ b/crates/emulator/src/fleet/members.rs
@@ -1,7 +1,7 @@
 //! All servers that there have been, by their number.
 
 use super::Member;
-use crate::ledger::Regret;
+use crate::accounting::Regret;
 use std::cell::RefCell;
 use std::rc::Rc;
 
--- a/crates/emulator/src/fleet/mod.rs
+++ b/crates/emulator/src/fleet/mod.rs
@@ -9,10 +9,10 @@
 pub use member::{Fate, Member};
 pub use members::Members;
 
-use crate::day::FaultKind;
 use crate::environment::Environment;
 use crate::fabric::Fabric;
-use crate::plan::{factor, hashed};
+use crate::scenario::FaultKind;
+use crate::schedule::{factor, hashed};
 use connection::Connection;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -43,24 +43,24 @@
 
     /// One way between a sidecar and a server, this time (ms).
     fn one_way(&self, sidecar: usize, member: &Member) -> f64 {
-        let plan = &self.environment.plan;
-        let (same, cross, jitter) = plan.network;
-        let near = plan.sidecars[sidecar].zone == member.model.borrow().plan.zone;
-        let draw = hashed(plan.seed, &[42, self.next_draw()]);
+        let schedule = &self.environment.schedule;
+        let (same, cross, jitter) = schedule.network;
+        let near = schedule.sidecars[sidecar].zone == member.model.borrow().plan.zone;
+        let draw = hashed(schedule.seed, &[42, self.next_draw()]);
         (if near { same } else { cross }) * factor(jitter, draw)
     }
 
     /// Share of the answers that is corrupted now.
     fn corrupted_share(&self) -> f64 {
         let clock = &self.environment.clock;
-        let active = self.environment.plan.active(FaultKind::Garble, clock.now() - clock.day_start());
+        let active = self.environment.schedule.active(FaultKind::Garble, clock.now() - clock.day_start());
         active.map(|t| t.part).sum()
     }
 
     /// Lets a server work, and listen for every sidecar.
     pub fn serve(self: &Rc<Self>, member: &Rc<Member>) {
         spawn_local(self.clone().keep_going(member.clone()));
-        for sidecar in 0..self.environment.plan.sidecars.len() {
+        for sidecar in 0..self.environment.schedule.sidecars.len() {
             spawn_local(self.clone().listen(member.clone(), sidecar));
         }
     }
--- a/crates/emulator/src/fleet/probes.rs
+++ b/crates/emulator/src/fleet/probes.rs
@@ -9,12 +9,12 @@
     /// Answers a probe, for the load (`stats`) or the health; false where the connection ends.
     pub(super) async fn probe(&self, wire: &mut Wire<F::Stream>, way: f64, stats: bool) -> bool {
         let (environment, member) = (self.environment(), &self.member);
-        *environment.ledger.borrow_mut().probes.entry(member.number).or_default() += 1;
-        if !environment.plan.day.limits.probes {
+        *environment.accounting.borrow_mut().probes.entry(member.number).or_default() += 1;
+        if !environment.schedule.day.limits.probes {
             return wire.write(&answer_bytes(404, &[], b"")).await.is_ok();
         }
         let full = self.work_on_probe().await;
-        let text = member.report(environment.clock.now(), environment.plan.seed);
+        let text = member.report(environment.clock.now(), environment.schedule.seed);
         environment.clock.sleep(way).await;
         let answer = match (full, stats) {
             (true, _) => answer_bytes(503, &[], b""),
--- a/crates/emulator/src/fleet/requests.rs
+++ b/crates/emulator/src/fleet/requests.rs
@@ -2,12 +2,12 @@
 
 use super::connection::Connection;
 use super::Member;
+use crate::accounting::{AttemptEnd, Place, RequestAccounting, Rule};
 use crate::corruption::{self, Corruption};
 use crate::environment::Environment;
 use crate::fabric::Fabric;
 use crate::http::{answer_bytes, Request, Wire};
-use crate::ledger::{AttemptEnd, Ledger, Place, Rule};
-use crate::plan::{factor, hashed, Arrival};
+use crate::schedule::{factor, hashed, Arrival};
 use crate::server::{Done, Job, TurnedAway};
 use bytes::Bytes;
 use std::cell::RefMut;
@@ -22,7 +22,7 @@
 impl<F: Fabric> Drop for Open<'_, F> {
     fn drop(&mut self) {
         let now = self.environment.clock.now();
-        self.environment.ledger.borrow_mut().attempt_ended(now, self.attempt, AttemptEnd::Cut);
+        self.environment.accounting.borrow_mut().attempt_ended(now, self.attempt, AttemptEnd::Cut);
     }
 }
 
@@ -51,8 +51,8 @@
         self.connection.environment()
     }
 
-    fn ledger(&self) -> RefMut<'_, Ledger> {
-        self.environment().ledger.borrow_mut()
+    fn accounting(&self) -> RefMut<'_, RequestAccounting> {
+        self.environment().accounting.borrow_mut()
     }
 
     fn member(&self) -> &Member {
@@ -71,7 +71,7 @@
             return wire.write(&answer_bytes(400, &[], b"nobody asked that\n")).await.is_ok();
         };
         let open = Open { environment, attempt };
-        let known = Known { id, attempt, flow: self.ledger().tries[attempt.0].flow };
+        let known = Known { id, attempt, flow: self.accounting().tries[attempt.0].flow };
         if self.lacks_key(known) {
             return wire.write(&answer_bytes(400, &[], b"nobody asked that\n")).await.is_ok();
         }
@@ -93,54 +93,62 @@
     /// Records the attempt; `None` where no client asked for it.
     fn attempt(&self, id: u64, now: f64) -> Option<(usize, usize)> {
         let server = (self.member().number, self.member().place);
-        self.ledger().attempt(&self.environment().plan, id, self.connection.sidecar, server, self.came, now)
+        self.accounting().attempt(
+            &self.environment().schedule,
+            id,
+            self.connection.sidecar,
+            server,
+            self.came,
+            now,
+        )
     }
 
-    fn broke(&self, rule: Rule, flow: usize, what: String) {
-        self.environment().broke(rule, self.connection.sidecar, Some(flow), what);
+    fn record_violation(&self, rule: Rule, flow: usize, what: String) {
+        self.environment().record_violation(rule, self.connection.sidecar, Some(flow), what);
     }
 
     fn arrival(&self, known: Known) -> &Arrival {
-        &self.environment().plan.arrivals[known.flow]
+        &self.environment().schedule.arrivals[known.flow]
     }
 
     /// A number from 0 to 1 that belongs to this attempt and one purpose.
     fn draw(&self, known: Known, purpose: u64) -> f64 {
-        hashed(self.environment().plan.seed, &[purpose, known.id, known.attempt.1 as u64])
+        hashed(self.environment().schedule.seed, &[purpose, known.id, known.attempt.1 as u64])
     }
 
     /// Whether the request of a keyed class came without the key that its client sent, which breaks a rule.
     fn lacks_key(&self, known: Known) -> bool {
-        let key = self.environment().plan.key_of(known.flow);
+        let key = self.environment().schedule.key_of(known.flow);
         let lacks = key.is_some() && self.request.header("idempotency-key") != key.as_deref();
         if lacks {
             let what = format!("id {:016x} without the key that its client sent", known.id);
-            self.broke(Rule::Unknown, known.flow, what);
+            self.record_violation(Rule::Unknown, known.flow, what);
         }
         lacks
     }
 
     /// The work of this attempt (ms of a standard core), which is counted as sent.
     fn work(&self, known: Known) -> f64 {
-        let (plan, arrival) = (&self.environment().plan, self.arrival(known));
-        let noise = plan.day.classes[arrival.class].attempt_noise;
-        let noise = noise.at(hashed(plan.seed, &[3, arrival.class as u64]));
+        let (schedule, arrival) = (&self.environment().schedule, self.arrival(known));
+        let noise = schedule.day.classes[arrival.class].attempt_noise;
+        let noise = noise.at(hashed(schedule.seed, &[3, arrival.class as u64]));
         let work = arrival.work * factor(noise, self.draw(known, 4));
-        let mut ledger = self.ledger();
-        ledger.work.0 += work;
-        let crosses = self.member().model.borrow().plan.zone != plan.sidecars[self.connection.sidecar].zone;
-        ledger.crossed += u64::from(crosses);
+        let mut accounting = self.accounting();
+        accounting.work.0 += work;
+        let crosses =
+            self.member().model.borrow().plan.zone != schedule.sidecars[self.connection.sidecar].zone;
+        accounting.crossed += u64::from(crosses);
         work
     }
 
     /// Whether this work is too much for a cold server, which goes down with it.
     fn pushes_over(&self, known: Known, work: f64, now: f64) -> bool {
-        let limits = &self.environment().plan.day.limits;
+        let limits = &self.environment().schedule.day.limits;
         let pushed = self.member().with(now, |m| m.push(work, limits.fall_multiple, limits.fall_ms));
         if pushed {
             let warmth = self.member().model.borrow().warmth();
             let what = format!("server {} at warmth {warmth:.2}", self.member().number);
-            self.broke(Rule::PushedOver, known.flow, what);
+            self.record_violation(Rule::PushedOver, known.flow, what);
             self.member().die(now);
         }
         pushed
@@ -162,13 +170,13 @@
             let model = self.member().model.borrow();
             Place { zone: model.plan.zone, cell: model.plan.cell }
         };
-        self.ledger().ran(&self.environment().plan, now, known.attempt, place);
+        self.accounting().ran(&self.environment().schedule, now, known.attempt, place);
         Ok(begun)
     }
 
     /// Says that the request was not started; false where the connection ends.
     async fn turn_away(&self, wire: &mut Wire<F::Stream>, known: Known, why: AttemptEnd, now: f64) -> bool {
-        self.ledger().attempt_ended(now, known.attempt, why);
+        self.accounting().attempt_ended(now, known.attempt, why);
         self.environment().clock.sleep(self.way).await;
         let mut headers = vec![("not-started", "1".to_owned())];
         if self.connection.crowded {
@@ -202,16 +210,16 @@
     fn hung_up(&self, known: Known, job: u64, work: f64) {
         let now = self.environment().clock.now();
         let dropped = self.member().with(now, |m| m.hang_up(job));
-        let mut ledger = self.ledger();
-        ledger.attempt_ended(now, known.attempt, AttemptEnd::HungUp);
-        ledger.work.1 += if dropped { 0.0 } else { work };
+        let mut accounting = self.accounting();
+        accounting.attempt_ended(now, known.attempt, AttemptEnd::HungUp);
+        accounting.work.1 += if dropped { 0.0 } else { work };
     }
 
     /// The answer to a job that has ended: good, an error, or corrupted.
     fn answer_to(&self, known: Known, done: Done) -> Vec<u8> {
         let now = self.environment().clock.now();
         if done.error {
-            self.ledger().attempt_ended(now, known.attempt, AttemptEnd::Error);
+            self.accounting().attempt_ended(now, known.attempt, AttemptEnd::Error);
             return answer_bytes(500, &[], b"error\n");
         }
         let body = self.body(known);
@@ -238,23 +246,23 @@
     }
 
     fn record_answer(&self, known: Known, now: f64, corruption: Option<Corruption>, body: &Bytes) {
-        let mut ledger = self.ledger();
+        let mut accounting = self.accounting();
         if let Some(corruption) = corruption {
-            *ledger.spoilt.entry(format!("{corruption:?}")).or_default() += 1;
+            *accounting.spoilt.entry(format!("{corruption:?}")).or_default() += 1;
         }
         let good = corruption.is_none_or(Corruption::is_valid);
         let end = if good { AttemptEnd::Served } else { AttemptEnd::Spoilt };
-        ledger.attempt_ended(now, known.attempt, end);
+        accounting.attempt_ended(now, known.attempt, end);
         if good {
-            ledger.made(known.attempt.0, body.clone());
+            accounting.made(known.attempt.0, body.clone());
         }
     }
 
     fn good(&self, body: &Bytes) -> Vec<u8> {
-        let plan = &self.environment().plan;
-        let reports = plan.day.server.report_in_answers;
-        let report =
-            reports.then(|| ("server-load", self.member().report(self.environment().clock.now(), plan.seed)));
+        let schedule = &self.environment().schedule;
+        let reports = schedule.day.server.report_in_answers;
+        let report = reports
+            .then(|| ("server-load", self.member().report(self.environment().clock.now(), schedule.seed)));
         answer_bytes(200, report.as_slice(), body)
     }
 }
--- a/crates/emulator/src/memory.rs
+++ b/crates/emulator/src/memory.rs
@@ -1,6 +1,6 @@
 //! Streams in memory that behave as TCP's do: data, half closes, resets, refused and silent connects.
 //!
-//! They take no time: delays belong to the world, so that both fabrics have the same ones. Everything is
+//! They take no time: delays belong to the simulation, so that both fabrics have the same ones. Everything is
 //! in one thread and wakes in the order of the calls, so that equal runs go equal ways.
 
 use crate::fabric::Fabric;
--- a/crates/emulator/src/misbehaving.rs
+++ b/crates/emulator/src/misbehaving.rs
@@ -1,10 +1,10 @@
 //! Misbehaving clients: what they send, and what they are owed (an error or a close, in time).
 
+use crate::accounting::Rule;
 use crate::applications::Applications;
 use crate::environment::Environment;
 use crate::fabric::Fabric;
-use crate::ledger::Rule;
-use crate::plan::hashed;
+use crate::schedule::hashed;
 use std::rc::Rc;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::task::spawn_local;
@@ -48,7 +48,7 @@
         let clock = &self.environment.clock;
         let mut number = 0_u64;
         while clock.now() < until && rate > 0.0 {
-            let draw = hashed(self.environment.plan.seed, &[31, sidecar as u64, number]);
+            let draw = hashed(self.environment.schedule.seed, &[31, sidecar as u64, number]);
             clock.sleep(-(draw.max(1e-9)).ln() / rate * 1e3).await;
             number += 1;
             if self.applications.asks(sidecar) {
@@ -63,18 +63,19 @@
         let text = MALFORMED[number as usize % MALFORMED.len()];
         let (kills, began) = (self.applications.kills(sidecar), environment.clock.now());
         let Ok(stream) = environment.connect(sidecar).await else { return };
-        environment.ledger.borrow_mut().bad.0 += 1;
-        let limit = environment.clock.instant(began + ANSWER_LIMIT + environment.plan.day.limits.slack_ms);
+        environment.accounting.borrow_mut().bad.0 += 1;
+        let limit =
+            environment.clock.instant(began + ANSWER_LIMIT + environment.schedule.day.limits.slack_ms);
         let answer = timeout_at(limit, exchange(stream, text)).await;
         let excused = self.applications.excused(sidecar, kills);
         match answer {
             Ok(answer) if answer.starts_with(b"HTTP/1.1 200") => {
-                environment.broke(Rule::ServedBad, sidecar, None, format!("{text:.60?}"));
+                environment.record_violation(Rule::ServedBad, sidecar, None, format!("{text:.60?}"));
             }
             Err(_) if !excused => {
-                environment.broke(Rule::BadUnanswered, sidecar, None, format!("{text:.60?}"));
+                environment.record_violation(Rule::BadUnanswered, sidecar, None, format!("{text:.60?}"));
             }
-            _ => environment.ledger.borrow_mut().bad.1 += 1,
+            _ => environment.accounting.borrow_mut().bad.1 += 1,
         }
     }
 }
--- a/crates/emulator/src/result/attempts.rs
+++ b/crates/emulator/src/result/attempts.rs
@@ -1,7 +1,7 @@
 //! Refusals by their cause, and attempts by their end.
 
 use super::numbers::ratio;
-use crate::ledger::{AttemptEnd, Ledger, Regret, Try, TryEnd};
+use crate::accounting::{AttemptEnd, Regret, RequestAccounting, Try, TryEnd};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -78,9 +78,9 @@
 }
 
 /// What came of the attempts.
-pub(super) fn attempts(ledger: &Ledger) -> Attempts {
+pub(super) fn attempts(accounting: &RequestAccounting) -> Attempts {
     let (mut all, mut ends) = (Attempts::default(), BTreeMap::<AttemptEnd, u64>::new());
-    for one in &ledger.tries {
+    for one in &accounting.tries {
         all.most = all.most.max(one.attempts.len());
         for attempt in &one.attempts {
             all.sent += 1;
@@ -90,7 +90,7 @@
     }
     let named = |end: AttemptEnd| serde_json::to_value(end).ok()?.as_str().map(str::to_owned);
     all.by_end = ends.into_iter().filter_map(|(end, count)| Some((named(end)?, count))).collect();
-    all.wasted_share = ratio(ledger.work.1, ledger.work.0);
-    all.crossed_share = ratio(ledger.crossed as f64, all.sent as f64);
+    all.wasted_share = ratio(accounting.work.1, accounting.work.0);
+    all.crossed_share = ratio(accounting.crossed as f64, all.sent as f64);
     all
 }
--- a/crates/emulator/src/result/flows.rs
+++ b/crates/emulator/src/result/flows.rs
@@ -1,8 +1,8 @@
 //! Flows by their end, in all and by class and tenant.
 
 use super::numbers::{histogram, share, Latency};
-use crate::ledger::{Try, TryEnd};
-use crate::plan::{Arrival, Plan};
+use crate::accounting::{Try, TryEnd};
+use crate::schedule::{Arrival, Schedule};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -49,9 +49,9 @@
     taken: bool,
 }
 
-/// How the flow of an arrival (ms of the world) ended, by its tries.
-pub(super) fn ended(plan: &Plan, tries: &[&Try], arrived: f64, flow: usize) -> Ended {
-    let aim = plan.class(&plan.arrivals[flow]).aim_ms;
+/// How the flow of an arrival (ms of the simulation) ended, by its tries.
+pub(super) fn ended(schedule: &Schedule, tries: &[&Try], arrived: f64, flow: usize) -> Ended {
+    let aim = schedule.class(&schedule.arrivals[flow]).aim_ms;
     let served_at = tries.iter().find(|t| t.end == TryEnd::Served).map(|t| t.ended - arrived);
     Ended {
         served_at,
--- a/crates/emulator/src/result/mod.rs
+++ b/crates/emulator/src/result/mod.rs
@@ -1,4 +1,4 @@
-//! What came of a day: `result.json`, and the series by second.
+//! What came of a scenario: `result.json`, and the series by second.
 
 mod attempts;
 mod flows;
@@ -10,9 +10,9 @@
 pub use numbers::Latency;
 pub use series::Second;
 
+use crate::accounting::{RequestAccounting, Rule, Try, TryEnd, Violation};
 use crate::fabric::Fabric;
-use crate::ledger::{Ledger, Rule, Try, TryEnd, Violation};
-use crate::world::World;
+use crate::simulation::Simulation;
 use attempts::{attempts, refusals};
 use flows::{ended, worst, Parts};
 use numbers::{histogram, ratio, round, share};
@@ -48,16 +48,16 @@
     pub connections_per_try: f64,
     /// How often servers turned slow.
     pub chokes: u64,
-    /// Share of the cores in service that was idle, as a mean over the day.
+    /// Share of the cores in service that was idle, as a mean over the scenario.
     pub idle_share: f64,
     /// Calls answered by discovery, and those that failed.
     pub calls: (u64, u64),
 }
 
-/// What came of a day.
+/// What came of a scenario.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Outcome {
-    /// The day.
+    /// The scenario.
     pub day: String,
     /// Who decided.
     pub strategy: String,
@@ -114,55 +114,60 @@
     }
 }
 
-/// What came of a day that was played.
-pub fn outcome<F: Fabric>(world: &World<F>, strategy: &str) -> (Outcome, Vec<Second>) {
-    let (plan, ledger) = (&world.plan, world.ledger.borrow());
-    let mut series = Series::new(plan.day.length_s.ceil() as usize);
+/// What came of a scenario that was played.
+pub fn outcome<F: Fabric>(simulation: &Simulation<F>, strategy: &str) -> (Outcome, Vec<Second>) {
+    let (schedule, accounting) = (&simulation.plan, simulation.environment.accounting.borrow());
+    let mut series = Series::new(schedule.day.length_s.ceil() as usize);
     let mut out = Outcome {
-        day: plan.day.name.clone(),
+        day: schedule.day.name.clone(),
         strategy: strategy.into(),
-        seed: plan.seed,
+        seed: schedule.seed,
         ..Outcome::default()
     };
-    count_flows(world, &ledger, &mut out, &mut series);
-    for one in &ledger.tries {
-        series.add_try(one.sent - world.day_start(), one.end);
+    count_flows(simulation, &accounting, &mut out, &mut series);
+    for one in &accounting.tries {
+        series.add_try(one.sent - simulation.day_start(), one.end);
         out.tries.add(one.end);
     }
     out.worst_window = series.worst_window();
-    out.refusals = refusals(&ledger.tries);
-    out.attempts = attempts(&ledger);
-    out.servers = servers(world, &ledger);
-    out.descriptors = ledger.descriptors.values().copied().max().unwrap_or(0);
-    (out.bad, out.spoilt) = (ledger.bad, ledger.spoilt.clone());
-    out.violation_counts = ledger.counts.iter().map(|(rule, n)| (rule.to_string(), *n)).collect();
-    out.violations = ledger.violations.clone();
+    out.refusals = refusals(&accounting.tries);
+    out.attempts = attempts(&accounting);
+    out.servers = servers(simulation, &accounting);
+    out.descriptors = accounting.descriptors.values().copied().max().unwrap_or(0);
+    (out.bad, out.spoilt) = (accounting.bad, accounting.spoilt.clone());
+    out.violation_counts = accounting.counts.iter().map(|(rule, n)| (rule.to_string(), *n)).collect();
+    out.violations = accounting.violations.clone();
     for violation in &mut out.violations {
         violation.at = round(violation.at);
     }
-    (out, series.finish(&world.samples.borrow()))
+    (out, series.finish(&simulation.samples.borrow()))
 }
 
 /// Counts every flow: in all, by second, by class and by tenant.
-fn count_flows<F: Fabric>(world: &World<F>, ledger: &Ledger, out: &mut Outcome, series: &mut Series) {
-    let (plan, unasked) = (&world.plan, world.clients.unasked());
-    let mut by_flow: Vec<Vec<&Try>> = vec![Vec::new(); plan.arrivals.len()];
-    ledger.tries.iter().for_each(|t| by_flow[t.flow].push(t));
+fn count_flows<F: Fabric>(
+    simulation: &Simulation<F>,
+    accounting: &RequestAccounting,
+    out: &mut Outcome,
+    series: &mut Series,
+) {
+    let (schedule, unasked) = (&simulation.plan, simulation.clients.unasked());
+    let mut by_flow: Vec<Vec<&Try>> = vec![Vec::new(); schedule.arrivals.len()];
+    accounting.tries.iter().for_each(|t| by_flow[t.flow].push(t));
     let (mut times, mut worth) = (histogram(), (0.0, 0.0));
     let (mut classes, mut tenants) = (Parts::default(), Parts::default());
-    for (flow, arrival) in plan.arrivals.iter().enumerate() {
+    for (flow, arrival) in schedule.arrivals.iter().enumerate() {
         if unasked.contains(&flow) {
             out.flows.unasked += 1;
             continue;
         }
-        let one = ended(plan, &by_flow[flow], world.day_at(arrival.at), flow);
+        let one = ended(schedule, &by_flow[flow], simulation.day_at(arrival.at), flow);
         worth = (worth.0 + arrival.worth, worth.1 + one.earned(arrival));
         out.flows.add(&one);
         series.add_flow(arrival, &one);
         one.micros().into_iter().for_each(|time| times.saturating_record(time));
-        classes.add(&plan.class(arrival).name, arrival, &one);
+        classes.add(&schedule.class(arrival).name, arrival, &one);
         if !arrival.over_share {
-            tenants.add(&plan.day.tenants[arrival.tenant].name, arrival, &one);
+            tenants.add(&schedule.day.tenants[arrival.tenant].name, arrival, &one);
         }
     }
     (out.classes, out.tenants) = (classes.finish(), tenants.finish());
@@ -171,16 +176,16 @@
     out.latency = Latency::of(&times);
 }
 
-fn servers<F: Fabric>(world: &World<F>, ledger: &Ledger) -> Servers {
-    let (members, samples) = (world.members(), world.samples.borrow());
-    let probes: u64 = ledger.probes.values().sum();
-    let connections: u64 = ledger.connections.values().sum();
+fn servers<F: Fabric>(simulation: &Simulation<F>, accounting: &RequestAccounting) -> Servers {
+    let (members, samples) = (simulation.members(), simulation.samples.borrow());
+    let probes: u64 = accounting.probes.values().sum();
+    let connections: u64 = accounting.connections.values().sum();
     Servers {
-        probes_per_s: ratio(probes as f64, members.len() as f64 * world.plan.day.length_s),
-        connections_per_try: ratio(connections as f64, ledger.tries.len() as f64),
+        probes_per_s: ratio(probes as f64, members.len() as f64 * simulation.plan.day.length_s),
+        connections_per_try: ratio(connections as f64, accounting.tries.len() as f64),
         chokes: members.iter().map(|m| m.model.borrow().chokes).sum(),
         idle_share: ratio(samples.iter().map(|s| s.idle).sum(), samples.len() as f64),
-        calls: ledger.calls,
+        calls: accounting.calls,
     }
 }
 
--- a/crates/emulator/src/result/series.rs
+++ b/crates/emulator/src/result/series.rs
@@ -1,17 +1,17 @@
-//! The day by second.
+//! The scenario by second.
 
 use super::flows::Ended;
 use super::numbers::{histogram, round, share, Latency};
-use crate::ledger::TryEnd;
-use crate::plan::Arrival;
-use crate::world::Sample;
+use crate::accounting::TryEnd;
+use crate::schedule::Arrival;
+use crate::simulation::Sample;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
 /// The window that the worst is looked for in (s).
 const WINDOW: usize = 10;
 
-/// One second of the day.
+/// One second of the scenario.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Second {
     /// Which.
@@ -32,7 +32,7 @@
     pub fleet: Sample,
 }
 
-/// The seconds of a day while they are counted; what lies beyond the last counts to it.
+/// The seconds of a scenario while they are counted; what lies beyond the last counts to it.
 pub(super) struct Series {
     seconds: Vec<Second>,
     times: Vec<Histogram<u64>>,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The second of a time of the day (ms).
+    /// The second of a time of the scenario (ms).
     fn at(&self, at: f64) -> usize {
         ((at / 1e3).max(0.0) as usize).min(self.seconds.len() - 1)
     }
@@ -60,7 +60,7 @@
         one.micros().into_iter().for_each(|time| self.times[second].saturating_record(time));
     }
 
-    /// Counts a try to the second of the day (ms) in which it was sent.
+    /// Counts a try to the second of the scenario (ms) in which it was sent.
     pub(super) fn add_try(&mut self, sent: f64, end: TryEnd) {
         let second = self.at(sent);
         self.seconds[second].tries += 1;
--- a/crates/emulator/src/day/checks.rs
+++ b/crates/emulator/src/scenario/checks.rs
@@ -1,6 +1,6 @@
-//! What of a day can't be played, each problem with its key.
+//! What of a scenario can't be played, each problem with its key.
 
-use super::{Class, Day, Fault, Kind};
+use super::{Class, Fault, Kind, Scenario};
 
 /// The problems found so far.
 #[derive(Default)]
@@ -22,8 +22,8 @@
         self.want(fine, format!("{key}: shares are negative or sum to 0"));
     }
 
-    fn fleet(&mut self, day: &Day) {
-        let fleet = &day.fleet;
+    fn fleet(&mut self, scenario: &Scenario) {
+        let fleet = &scenario.fleet;
         let servers = fleet.servers;
         self.want((1..=200).contains(&servers), format!("fleet.servers is not from 1 to 200: {servers}"));
         let sidecars = fleet.sidecars;
@@ -56,15 +56,15 @@
         self.want(window > 0.0, format!("{key}: window_ms is not above 0: {window}"));
     }
 
-    fn limits_and_load(&mut self, day: &Day) {
-        let sockets = day.limits.sockets;
+    fn limits_and_load(&mut self, scenario: &Scenario) {
+        let sockets = scenario.limits.sockets;
         self.want(sockets >= 64, format!("limits.sockets is below 64: {sockets}"));
-        self.want(day.limits.max_attempts >= 1, "limits.max_attempts is 0");
-        self.want(day.discovery.calls_per_s.low > 0.0, "discovery.calls_per_s is not above 0");
-        self.want(day.load.of_capacity.low > 0.0, "load.of_capacity is not above 0");
-        let rate = day.load.rate.is_none_or(|r| r > 0.0 && r <= 1e5);
+        self.want(scenario.limits.max_attempts >= 1, "limits.max_attempts is 0");
+        self.want(scenario.discovery.calls_per_s.low > 0.0, "discovery.calls_per_s is not above 0");
+        self.want(scenario.load.of_capacity.low > 0.0, "load.of_capacity is not above 0");
+        let rate = scenario.load.rate.is_none_or(|r| r > 0.0 && r <= 1e5);
         self.want(rate, "load.rate is not above 0 and up to 100000");
-        let share = day.clients.try_share;
+        let share = scenario.clients.try_share;
         self.want(share.low > 0.0 && share.high <= 1.0, "clients.try_share is not above 0 and up to 1");
     }
 
@@ -80,7 +80,7 @@
     }
 }
 
-impl Day {
+impl Scenario {
     /// Everything in it that can't be played.
     pub fn problems(&self) -> Vec<String> {
         let mut problems = Problems::default();
--- a/crates/emulator/src/day/defaults.rs
+++ b/crates/emulator/src/scenario/defaults.rs
@@ -1,4 +1,4 @@
-//! What a day has where its file says nothing.
+//! What a scenario has where its file says nothing.
 
 use super::{Class, Effect, Kind, Range, Tenant};
 
--- a/crates/emulator/src/day/fault.rs
+++ b/crates/emulator/src/scenario/fault.rs
@@ -1,4 +1,4 @@
-//! What goes wrong on a day, as its file states it.
+//! What goes wrong on a scenario, as its file states it.
 
 use super::figures::figures;
 use super::Range;
--- a/crates/emulator/src/day/figures.rs
+++ b/crates/emulator/src/scenario/figures.rs
@@ -1,4 +1,4 @@
-//! The macro that declares a table of a day file, each key with its default.
+//! The macro that declares a table of a scenario file, each key with its default.
 
 /// Declares a struct whose fields are the keys of a table, with their defaults; unknown keys are refused.
 macro_rules! figures {
--- a/crates/emulator/src/day/fleet.rs
+++ b/crates/emulator/src/scenario/fleet.rs
@@ -1,4 +1,4 @@
-//! The servers of a day: how many, of which kinds, and what holds for all of them.
+//! The servers of a scenario: how many, of which kinds, and what holds for all of them.
 
 use super::figures::figures;
 use super::Range;
--- a/crates/emulator/src/day/mod.rs
+++ b/crates/emulator/src/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! Days as files: TOML, every figure a plain value or a range, unknown keys refused.
+//! Scenarios as files: TOML, every figure a plain value or a range, unknown keys refused.
 
 mod checks;
 mod defaults;
@@ -8,10 +8,6 @@
 mod range;
 mod traffic;
 
-/// The former name of [`Fault`].
-pub use fault::Fault as Trouble;
-/// The former name of [`FaultKind`].
-pub use fault::FaultKind as TroubleKind;
 pub use fault::{Fault, FaultKind};
 pub use fleet::{Cancel, Fleet, Kind, ServerFigures};
 pub use range::Range;
@@ -20,10 +16,10 @@
 use serde::Deserialize;
 use std::path::Path;
 
-/// A day.
+/// A scenario.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Day {
+pub struct Scenario {
     /// Its name, as tables show it.
     pub name: String,
     /// What it is for, in a sentence.
@@ -70,13 +66,13 @@
     pub faults: Vec<Fault>,
 }
 
-/// Why a day can't be played: all problems at once, each with its key.
+/// Why a scenario can't be played: all problems at once, each with its key.
 #[derive(Debug, thiserror::Error)]
-pub enum Faulty {
+pub enum ScenarioError {
     /// The file can't be read.
     #[error("{0}: {1}")]
     Unreadable(String, std::io::Error),
-    /// It is no day.
+    /// It is no scenario.
     #[error("{0}: {1}")]
     Unparsable(String, toml::de::Error),
     /// Its figures can't be played.
@@ -84,22 +80,23 @@
     Impossible(String, Vec<String>),
 }
 
-impl Day {
+impl Scenario {
     /// Reads a file.
-    pub fn load(path: &Path) -> Result<Day, Faulty> {
+    pub fn load(path: &Path) -> Result<Scenario, ScenarioError> {
         let name = path.display().to_string();
-        let text = std::fs::read_to_string(path).map_err(|e| Faulty::Unreadable(name.clone(), e))?;
-        Day::read(&name, &text)
+        let text = std::fs::read_to_string(path).map_err(|e| ScenarioError::Unreadable(name.clone(), e))?;
+        Scenario::read(&name, &text)
     }
 
-    /// Reads a day's text; `name` stands in the error.
-    pub fn read(name: &str, text: &str) -> Result<Day, Faulty> {
-        let day: Day = toml::from_str(text).map_err(|e| Faulty::Unparsable(name.into(), e))?;
-        let problems = day.problems();
+    /// Reads a scenario's text; `name` stands in the error.
+    pub fn read(name: &str, text: &str) -> Result<Scenario, ScenarioError> {
+        let scenario: Scenario =
+            toml::from_str(text).map_err(|e| ScenarioError::Unparsable(name.into(), e))?;
+        let problems = scenario.problems();
         if problems.is_empty() {
-            Ok(day)
+            Ok(scenario)
         } else {
-            Err(Faulty::Impossible(name.into(), problems))
+            Err(ScenarioError::Impossible(name.into(), problems))
         }
     }
 }
--- a/crates/emulator/src/day/range.rs
+++ b/crates/emulator/src/scenario/range.rs
@@ -1,10 +1,10 @@
-//! A figure of a day file: a plain value, or a range that a draw takes it from.
+//! A figure of a scenario file: a plain value, or a range that a draw takes it from.
 
 use serde::de::{self, Deserializer, SeqAccess, Visitor};
 use serde::Deserialize;
 use std::fmt;
 
-/// A figure, or a range that a day draws it from.
+/// A figure, or a range that a scenario draws it from.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Range {
     /// The least.
--- a/crates/emulator/src/day/traffic.rs
+++ b/crates/emulator/src/scenario/traffic.rs
@@ -1,4 +1,4 @@
-//! The traffic of a day and what it passes: load, classes, tenants, clients, discovery, network, limits.
+//! The traffic of a scenario and what it passes: load, classes, tenants, clients, discovery, network, limits.
 
 use super::figures::figures;
 use super::Range;
@@ -11,7 +11,7 @@
         of_capacity: Range = Range::two(0.3, 0.45),
         /// Requests a second, in place of that; the work of each stays.
         rate: Option<f64> = None,
-        /// Slow swing of the rate over the day, as a share.
+        /// Slow swing of the rate over the scenario, as a share.
         swing: Range = Range::two(0.1, 0.3),
         /// How unlike the zones' shares of the traffic are (0: alike).
         zone_skew: Range = Range::two(0.25, 0.6),
--- a/crates/emulator/src/plan/arrivals.rs
+++ b/crates/emulator/src/schedule/arrivals.rs
@@ -1,9 +1,9 @@
-//! Arrivals: a Poisson stream whose rate swings and bursts, drawn before the day begins.
+//! Arrivals: a Poisson stream whose rate swings and bursts, drawn before the scenario begins.
 
 use super::faults::ScheduledFault;
 use super::random::{pick, Draws, Purpose};
 use super::servers::{capacity_of, ServerPlan, SidecarPlan};
-use crate::day::{Class, Day, FaultKind};
+use crate::scenario::{Class, FaultKind, Scenario};
 use rand::Rng;
 use rand_distr::{Distribution, Exp, LogNormal, Zipf};
 use std::f64::consts::TAU;
@@ -37,27 +37,27 @@
     LogNormal::new(mean.ln() - sigma * sigma / 2.0, sigma).unwrap_or(fallback)
 }
 
-/// The rate of arrivals over the day.
+/// The rate of arrivals over the scenario.
 struct Rate<'a> {
     /// Requests a second, without swing and bursts.
     base: f64,
     swing: f64,
     phase: f64,
-    /// Length of the day (ms).
+    /// Length of the scenario (ms).
     length: f64,
     bursts: Vec<&'a ScheduledFault>,
 }
 
 impl<'a> Rate<'a> {
     /// Draws it; `most` is what the warm fleet could do (requests a second).
-    fn draw(day: &Day, most: f64, faults: &'a [ScheduledFault], d: &mut Draws) -> Rate<'a> {
-        let base = day.load.rate.unwrap_or(most * d.of(day.load.of_capacity));
-        let (swing, phase) = (d.of(day.load.swing), d.0.random::<f64>());
+    fn draw(scenario: &Scenario, most: f64, faults: &'a [ScheduledFault], d: &mut Draws) -> Rate<'a> {
+        let base = scenario.load.rate.unwrap_or(most * d.of(scenario.load.of_capacity));
+        let (swing, phase) = (d.of(scenario.load.swing), d.0.random::<f64>());
         let bursts = faults.iter().filter(|t| t.kind == FaultKind::Burst).collect();
-        Rate { base, swing, phase, length: day.length_s * 1e3, bursts }
+        Rate { base, swing, phase, length: scenario.length_s * 1e3, bursts }
     }
 
-    /// Requests a second at a time of the day (ms).
+    /// Requests a second at a time of the scenario (ms).
     fn at(&self, at: f64) -> f64 {
         let slow = 1.0 + self.swing * (TAU * (at / self.length + self.phase)).sin();
         let burst = self.bursts.iter().filter(|b| (b.from..b.until).contains(&at)).map(|b| b.size);
@@ -80,9 +80,9 @@
 
 impl Quotas {
     /// Divides a total (requests a second) by the tenants' shares.
-    fn new(day: &Day, total: f64) -> Quotas {
-        let sum: f64 = day.tenants.iter().map(|t| t.share).sum();
-        let rates: Vec<f64> = day.tenants.iter().map(|t| t.share / sum * total).collect();
+    fn new(scenario: &Scenario, total: f64) -> Quotas {
+        let sum: f64 = scenario.tenants.iter().map(|t| t.share).sum();
+        let rates: Vec<f64> = scenario.tenants.iter().map(|t| t.share / sum * total).collect();
         let buckets = rates.iter().map(|rate| (*rate, 0.0)).collect();
         Quotas { rates, buckets }
     }
@@ -110,58 +110,59 @@
     keys: Option<Zipf<f64>>,
 }
 
-/// Mean work of the day's requests before its draw (ms of a standard core).
-fn mean_work(day: &Day) -> f64 {
-    let sum: f64 = day.classes.iter().map(|c| c.share).sum();
-    day.classes.iter().map(|c| c.share / sum * (c.work_ms.low + c.work_ms.high) / 2.0).sum()
+/// Mean work of the scenario's requests before its draw (ms of a standard core).
+fn mean_work(scenario: &Scenario) -> f64 {
+    let sum: f64 = scenario.classes.iter().map(|c| c.share).sum();
+    scenario.classes.iter().map(|c| c.share / sum * (c.work_ms.low + c.work_ms.high) / 2.0).sum()
 }
 
 /// Draws the share of the traffic that each tenant uses.
-fn tenant_use(day: &Day, d: &mut Draws) -> Vec<f64> {
-    let sum: f64 = day.tenants.iter().map(|t| t.share).sum();
-    let used: Vec<f64> = day.tenants.iter().map(|t| t.share / sum * d.of(t.usage)).collect();
+fn tenant_use(scenario: &Scenario, d: &mut Draws) -> Vec<f64> {
+    let sum: f64 = scenario.tenants.iter().map(|t| t.share).sum();
+    let used: Vec<f64> = scenario.tenants.iter().map(|t| t.share / sum * d.of(t.usage)).collect();
     let used_sum: f64 = used.iter().sum();
     used.iter().map(|u| u / used_sum).collect()
 }
 
-/// Draws the popularity of the keys; `None` where the day has none.
-fn popularity(day: &Day, d: &mut Draws) -> Option<Zipf<f64>> {
-    let keys = d.of(day.load.keys).round();
-    let popularity = Zipf::new(keys.max(1.0), d.of(day.load.key_zipf)).ok();
+/// Draws the popularity of the keys; `None` where the scenario has none.
+fn popularity(scenario: &Scenario, d: &mut Draws) -> Option<Zipf<f64>> {
+    let keys = d.of(scenario.load.keys).round();
+    let popularity = Zipf::new(keys.max(1.0), d.of(scenario.load.key_zipf)).ok();
     popularity.filter(|_| keys >= 1.0)
 }
 
 impl Mix {
-    fn arrival(&self, day: &Day, at: f64, quotas: &mut Quotas, d: &mut Draws) -> Arrival {
+    fn arrival(&self, scenario: &Scenario, at: f64, quotas: &mut Quotas, d: &mut Draws) -> Arrival {
         let class = pick(self.classes.iter().copied(), d.0.random());
         let tenant = pick(self.tenants.iter().copied(), d.0.random());
         let sidecar = pick(self.sidecars.iter().copied(), d.0.random());
         let key = self.keys.map(|keys| keys.sample(&mut d.0) as u64);
         let over_share = quotas.exceeded(tenant, at);
-        let worth = day.classes[class].worth * if over_share { day.load.over_share_worth } else { 1.0 };
+        let worth =
+            scenario.classes[class].worth * if over_share { scenario.load.over_share_worth } else { 1.0 };
         let work = self.works[class].sample(&mut d.0).clamp(1.0, 10_000.0);
         Arrival { at, sidecar, class, tenant, key, work, over_share, worth }
     }
 }
 
-/// Draws the tenants' quotas (requests a second) and every arrival of the day, thinned from the peak rate.
+/// Draws the tenants' quotas (requests a second) and every arrival of the scenario, thinned from the peak rate.
 pub(super) fn arrivals(
-    day: &Day,
+    scenario: &Scenario,
     seed: u64,
     servers: &[ServerPlan],
     sidecars: &[SidecarPlan],
     faults: &[ScheduledFault],
 ) -> (Vec<f64>, Vec<Arrival>) {
-    // The order of the draws is part of every day.
+    // The order of the draws is part of every scenario.
     let mut d = Draws::new(seed, Purpose::Arrivals);
-    let tenants = tenant_use(day, &mut d);
-    let works = day.classes.iter().map(|c| works(c, &mut d)).collect();
-    let most = capacity_of(servers) / mean_work(day) * 1e3;
-    let rate = Rate::draw(day, most, faults, &mut d);
-    let keys = popularity(day, &mut d);
-    let mut quotas = Quotas::new(day, d.of(day.load.quota_of_capacity) * most);
-    let class_sum: f64 = day.classes.iter().map(|c| c.share).sum();
-    let classes = day.classes.iter().map(|c| c.share / class_sum).collect();
+    let tenants = tenant_use(scenario, &mut d);
+    let works = scenario.classes.iter().map(|c| works(c, &mut d)).collect();
+    let most = capacity_of(servers) / mean_work(scenario) * 1e3;
+    let rate = Rate::draw(scenario, most, faults, &mut d);
+    let keys = popularity(scenario, &mut d);
+    let mut quotas = Quotas::new(scenario, d.of(scenario.load.quota_of_capacity) * most);
+    let class_sum: f64 = scenario.classes.iter().map(|c| c.share).sum();
+    let classes = scenario.classes.iter().map(|c| c.share / class_sum).collect();
     let mix = Mix { classes, tenants, sidecars: sidecars.iter().map(|s| s.share).collect(), works, keys };
     let mut arrivals = Vec::new();
     let peak = rate.peak();
@@ -169,7 +170,7 @@
     let mut at = gaps.sample(&mut d.0);
     while at < rate.length {
         if d.0.random::<f64>() * peak < rate.at(at) {
-            arrivals.push(mix.arrival(day, at, &mut quotas, &mut d));
+            arrivals.push(mix.arrival(scenario, at, &mut quotas, &mut d));
         }
         at += gaps.sample(&mut d.0);
     }
--- a/crates/emulator/src/plan/faults.rs
+++ b/crates/emulator/src/schedule/faults.rs
@@ -1,7 +1,7 @@
 //! Troubles as a draw has them.
 
 use super::random::{Draws, Purpose};
-use crate::day::{Day, Fault, FaultKind};
+use crate::scenario::{Fault, FaultKind, Scenario};
 use rand::Rng;
 
 /// A fault with its figures drawn.
@@ -27,15 +27,15 @@
     pub order: Vec<usize>,
 }
 
-/// Draws the day's faults, in the order of the file.
-pub(super) fn faults(day: &Day, seed: u64, servers: usize, sidecars: usize) -> Vec<ScheduledFault> {
+/// Draws the scenario's faults, in the order of the file.
+pub(super) fn faults(scenario: &Scenario, seed: u64, servers: usize, sidecars: usize) -> Vec<ScheduledFault> {
     let mut d = Draws::new(seed, Purpose::Faults);
     let draw = |t: &Fault| {
         let from = d.of(t.at_s) * 1e3;
         let until = from + d.of(t.len_s) * 1e3;
         let of_sidecars = matches!(t.kind, FaultKind::Restart | FaultKind::Kill | FaultKind::Rude);
         let order = d.order(if of_sidecars { sidecars } else { servers });
-        let drawn = d.0.random_range(0..day.fleet.zones.len());
+        let drawn = d.0.random_range(0..scenario.fleet.zones.len());
         ScheduledFault {
             kind: t.kind,
             from,
@@ -48,5 +48,5 @@
             order,
         }
     };
-    day.faults.iter().map(draw).collect()
+    scenario.faults.iter().map(draw).collect()
 }
--- a/crates/emulator/src/plan/mod.rs
+++ b/crates/emulator/src/schedule/mod.rs
@@ -1,4 +1,4 @@
-//! One draw from a day: who there is, what comes, and what goes wrong, all of it known before the start.
+//! One draw from a scenario: who there is, what comes, and what goes wrong, all of it known before the start.
 //!
 //! Arrivals are drawn ahead, so that answers never slow them. Each purpose has a stream of random
 //! numbers of its own: a change of one leaves the others as they were.
@@ -10,19 +10,17 @@
 
 pub use arrivals::Arrival;
 pub use faults::ScheduledFault;
-/// The former name of [`ScheduledFault`].
-pub use faults::ScheduledFault as TroublePlan;
 pub use random::{factor, hashed, stream, Purpose};
 pub use servers::{Choke, ServerPlan, SidecarPlan};
 
-use crate::day::{Class, Day, Effect, FaultKind};
+use crate::scenario::{Class, Effect, FaultKind, Scenario};
 use arrivals::arrivals;
 use faults::faults;
 use rand::Rng;
 use random::{pick, Draws};
 use servers::{capacity_of, server, sidecars};
 
-/// Clients' figures of the day.
+/// Clients' figures of the scenario.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientPlan {
     /// Tries after the first.
@@ -35,7 +33,7 @@
     pub honour: f64,
 }
 
-/// Discovery's figures of the day.
+/// Discovery's figures of the scenario.
 #[derive(Clone, Copy, Debug)]
 pub struct DiscoveryPlan {
     /// Delay of what it is told (ms).
@@ -50,11 +48,11 @@
     pub timeout: f64,
 }
 
-/// One draw from a day.
+/// One draw from a scenario.
 #[derive(Clone, Debug)]
-pub struct Plan {
-    /// The day.
-    pub day: Day,
+pub struct Schedule {
+    /// The scenario.
+    pub day: Scenario,
     /// The seed.
     pub seed: u64,
     /// Config servers.
@@ -76,21 +74,21 @@
 }
 
 impl ClientPlan {
-    fn draw(day: &Day, seed: u64) -> ClientPlan {
+    fn draw(scenario: &Scenario, seed: u64) -> ClientPlan {
         let mut d = Draws::new(seed, Purpose::Clients);
         ClientPlan {
-            retries: d.of(day.clients.retries) as usize,
-            try_share: d.of(day.clients.try_share),
-            backoff: d.of(day.clients.backoff_ms),
-            honour: d.of(day.clients.honour),
+            retries: d.of(scenario.clients.retries) as usize,
+            try_share: d.of(scenario.clients.try_share),
+            backoff: d.of(scenario.clients.backoff_ms),
+            honour: d.of(scenario.clients.honour),
         }
     }
 }
 
 /// Draws discovery's figures, and the network's from the same stream.
-fn discovery_and_network(day: &Day, seed: u64) -> (DiscoveryPlan, (f64, f64, f64)) {
+fn discovery_and_network(scenario: &Scenario, seed: u64) -> (DiscoveryPlan, (f64, f64, f64)) {
     let mut d = Draws::new(seed, Purpose::Discovery);
-    let figures = &day.discovery;
+    let figures = &scenario.discovery;
     let discovery = DiscoveryPlan {
         notice: d.of(figures.notice_s) * 1e3,
         silent_notice: d.of(figures.silent_notice_s) * 1e3,
@@ -98,21 +96,22 @@
         call: 1e3 / d.of(figures.calls_per_s),
         timeout: figures.timeout_ms,
     };
-    let network = (d.of(day.network.same_ms), d.of(day.network.cross_ms), d.of(day.network.jitter));
+    let network =
+        (d.of(scenario.network.same_ms), d.of(scenario.network.cross_ms), d.of(scenario.network.jitter));
     (discovery, network)
 }
 
-impl Plan {
-    /// Draws a day.
-    pub fn draw(day: &Day, seed: u64) -> Plan {
-        let servers = servers::servers(day, seed);
-        let sidecars = sidecars(day, seed);
-        let faults = faults(day, seed, servers.len(), sidecars.len());
-        let clients = ClientPlan::draw(day, seed);
-        let (discovery, network) = discovery_and_network(day, seed);
-        let (quotas, arrivals) = arrivals(day, seed, &servers, &sidecars, &faults);
-        Plan {
-            day: day.clone(),
+impl Schedule {
+    /// Draws a scenario.
+    pub fn draw(scenario: &Scenario, seed: u64) -> Schedule {
+        let servers = servers::servers(scenario, seed);
+        let sidecars = sidecars(scenario, seed);
+        let faults = faults(scenario, seed, servers.len(), sidecars.len());
+        let clients = ClientPlan::draw(scenario, seed);
+        let (discovery, network) = discovery_and_network(scenario, seed);
+        let (quotas, arrivals) = arrivals(scenario, seed, &servers, &sidecars, &faults);
+        Schedule {
+            day: scenario.clone(),
             seed,
             servers,
             sidecars,
@@ -144,7 +143,7 @@
         capacity_of(&self.servers)
     }
 
-    /// The faults of a kind at a time of the day (ms).
+    /// The faults of a kind at a time of the scenario (ms).
     pub fn active(&self, kind: FaultKind, at: f64) -> impl Iterator<Item = &ScheduledFault> {
         self.troubles.iter().filter(move |t| t.kind == kind && (t.from..t.until).contains(&at))
     }
--- a/crates/emulator/src/plan/random.rs
+++ b/crates/emulator/src/schedule/random.rs
@@ -1,6 +1,6 @@
 //! Random numbers: one stream for each purpose, numbers that belong to a key, and draws from both.
 
-use crate::day::Range;
+use crate::scenario::Range;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/emulator/src/plan/servers.rs
+++ b/crates/emulator/src/schedule/servers.rs
@@ -1,7 +1,7 @@
 //! Config servers and sidecars as a draw has them.
 
 use super::random::{factor, spread, Draws, Purpose};
-use crate::day::{Cancel, Day};
+use crate::scenario::{Cancel, Scenario};
 use rand::Rng;
 
 /// A config server.
@@ -79,17 +79,23 @@
     pub share: f64,
 }
 
-/// Draws a server of the day's kinds.
-pub(super) fn server(day: &Day, d: &mut Draws, number: usize, zone: usize, kind: usize) -> ServerPlan {
-    let (k, s) = (&day.kinds[kind], &day.server);
+/// Draws a server of the scenario's kinds.
+pub(super) fn server(
+    scenario: &Scenario,
+    d: &mut Draws,
+    number: usize,
+    zone: usize,
+    kind: usize,
+) -> ServerPlan {
+    let (k, s) = (&scenario.kinds[kind], &scenario.server);
     let speed = d.of(k.speed) * factor(d.of(k.speed_cv), d.0.random());
     let cores = k.cores;
     ServerPlan {
         id: format!("s-{:08x}", d.0.random::<u32>()),
         zone,
-        cell: (number / day.fleet.cell_size) as u64 * 16 + zone as u64,
+        cell: (number / scenario.fleet.cell_size) as u64 * 16 + zone as u64,
         kind: k.name.clone(),
-        size: (cores * speed * factor(d.of(day.fleet.size_noise), d.0.random()) * 10.0).round() / 10.0,
+        size: (cores * speed * factor(d.of(scenario.fleet.size_noise), d.0.random()) * 10.0).round() / 10.0,
         cores,
         speed,
         slots: (d.of(k.slots_per_core) * cores).round() as usize,
@@ -117,17 +123,17 @@
     }
 }
 
-/// Draws the servers that the day begins with.
-pub(super) fn servers(day: &Day, seed: u64) -> Vec<ServerPlan> {
-    let zones = day.fleet.zones.len();
+/// Draws the servers that the scenario begins with.
+pub(super) fn servers(scenario: &Scenario, seed: u64) -> Vec<ServerPlan> {
+    let zones = scenario.fleet.zones.len();
     let mut d = Draws::new(seed, Purpose::Fleet);
-    let skew = d.of(day.fleet.zone_skew);
-    let places = spread(day.fleet.servers, &d.shares(zones, skew));
-    let kinds: Vec<f64> = day.kinds.iter().map(|k| k.share).collect();
+    let skew = d.of(scenario.fleet.zone_skew);
+    let places = spread(scenario.fleet.servers, &d.shares(zones, skew));
+    let kinds: Vec<f64> = scenario.kinds.iter().map(|k| k.share).collect();
     let sum: f64 = kinds.iter().sum();
-    let kinds = spread(day.fleet.servers, &kinds.iter().map(|k| k / sum).collect::<Vec<_>>());
+    let kinds = spread(scenario.fleet.servers, &kinds.iter().map(|k| k / sum).collect::<Vec<_>>());
     let mixed = d.order(kinds.len());
-    (0..places.len()).map(|n| server(day, &mut d, n, places[n], kinds[mixed[n]])).collect()
+    (0..places.len()).map(|n| server(scenario, &mut d, n, places[n], kinds[mixed[n]])).collect()
 }
 
 /// Capacity of servers when warm: work of a standard core, in ms a ms.
@@ -136,13 +142,13 @@
 }
 
 /// Draws the sidecars with their shares of the traffic.
-pub(super) fn sidecars(day: &Day, seed: u64) -> Vec<SidecarPlan> {
+pub(super) fn sidecars(scenario: &Scenario, seed: u64) -> Vec<SidecarPlan> {
     let mut d = Draws::new(seed, Purpose::Sidecars);
-    let skew = d.of(day.load.zone_skew);
-    let zones = d.shares(day.fleet.zones.len(), skew);
+    let skew = d.of(scenario.load.zone_skew);
+    let zones = d.shares(scenario.fleet.zones.len(), skew);
     let even = vec![1.0 / zones.len() as f64; zones.len()];
-    let places = spread(day.fleet.sidecars, &even);
-    let cv = d.of(day.load.stream_cv);
+    let places = spread(scenario.fleet.sidecars, &even);
+    let cv = d.of(scenario.load.stream_cv);
     let mut raw: Vec<f64> = places.iter().map(|z| zones[*z] * factor(cv, d.0.random()).max(0.05)).collect();
     let sum: f64 = raw.iter().sum();
     raw.iter_mut().for_each(|s| *s /= sum);
--- a/crates/emulator/src/server/mod.rs
+++ b/crates/emulator/src/server/mod.rs
@@ -13,8 +13,8 @@
 pub use job::{Done, Job, TurnedAway};
 pub use report::Report;
 
-use crate::day::Cancel;
-use crate::plan::{hashed, ServerPlan};
+use crate::scenario::Cancel;
+use crate::schedule::{hashed, ServerPlan};
 use crowding::Crowding;
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/emulator/src/server/report.rs
+++ b/crates/emulator/src/server/report.rs
@@ -1,7 +1,7 @@
 //! What a server says of its load: late, and off by a noise.
 
 use super::Server;
-use crate::plan::factor;
+use crate::schedule::factor;
 
 /// What a probe or an answer says of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
--- a/crates/emulator/src/world/config.rs
+++ b/crates/emulator/src/simulation/config.rs
@@ -1,9 +1,9 @@
 //! The configuration that a sidecar is started with, in the platform's form.
 
-use super::World;
-use crate::day::{Class, Effect, Limits, Tenant};
+use super::Simulation;
 use crate::fabric::Fabric;
-use crate::plan::{hashed, Plan};
+use crate::scenario::{Class, Effect, Limits, Tenant};
+use crate::schedule::{hashed, Schedule};
 use serde_json::{json, Value};
 
 /// A time in whole microseconds, from milliseconds.
@@ -11,42 +11,42 @@
     (millis * 1e3).round() as i64
 }
 
-impl<F: Fabric> World<F> {
+impl<F: Fabric> Simulation<F> {
     /// The configuration of a sidecar for its start of this number (0 for the first).
     pub fn config(&self, sidecar: usize, start: u64) -> Value {
-        let plan = &self.plan;
-        let limits = &plan.day.limits;
+        let schedule = &self.plan;
+        let limits = &schedule.day.limits;
         let (_, moves) = *self.discovery.registry.state.borrow();
-        let seed = (hashed(plan.seed, &[43, sidecar as u64, start]) * (1_u64 << 53) as f64) as u64;
+        let seed = (hashed(schedule.seed, &[43, sidecar as u64, start]) * (1_u64 << 53) as f64) as u64;
         json!({
-            "name": plan.sidecars[sidecar].name,
+            "name": schedule.sidecars[sidecar].name,
             "listen": self.environment.addresses.listen(sidecar).to_string(),
             "discovery": self.environment.addresses.discovery(sidecar, moves).to_string(),
             "seed": format!("{seed:x}"),
             "limits": {"cores": 1.0, "memory_mb": limits.memory_mb, "sockets": limits.sockets},
             "known": self.discovery.told(sidecar, None),
-            "settings": settings(plan, sidecar),
+            "settings": settings(schedule, sidecar),
         })
     }
 }
 
 /// What the platform tells a sidecar of its fleet, its traffic and its obligations.
-fn settings(plan: &Plan, sidecar: usize) -> Value {
-    let day = &plan.day;
-    let classes: Vec<Value> = day.classes.iter().map(request_class).collect();
-    let customers: Vec<Value> = day.tenants.iter().zip(&plan.quotas).map(customer).collect();
-    let how = if day.server.report_in_answers { "inline" } else { "on_probe" };
+fn settings(schedule: &Schedule, sidecar: usize) -> Value {
+    let scenario = &schedule.day;
+    let classes: Vec<Value> = scenario.classes.iter().map(request_class).collect();
+    let customers: Vec<Value> = scenario.tenants.iter().zip(&schedule.quotas).map(customer).collect();
+    let how = if scenario.server.report_in_answers { "inline" } else { "on_probe" };
     json!({
-        "fleet_size": plan.sidecars.len(),
-        "locality": day.fleet.zones[plan.sidecars[sidecar].zone],
+        "fleet_size": schedule.sidecars.len(),
+        "locality": scenario.fleet.zones[schedule.sidecars[sidecar].zone],
         "discovery": "on_request",
         "request_classes": classes,
         "customers": customers,
-        "over_share_worth": day.load.over_share_worth,
+        "over_share_worth": scenario.load.over_share_worth,
         "report": {"how": how, "names": ["active", "waiting", "cpu"]},
-        "limits": limits(&day.limits, day.server.idle_s.low),
-        "obligations": obligations(plan),
-        "family_info": {"warm_keys": day.load.keys.high > 0.0},
+        "limits": limits(&scenario.limits, scenario.server.idle_s.low),
+        "obligations": obligations(schedule),
+        "family_info": {"warm_keys": scenario.load.keys.high > 0.0},
         "prices": {"probe": 0.01, "cross_zone": 0.03, "waste": 0.04, "handshake": 0.02},
         "scoring_mix": {"worst_class": 0.2},
     })
@@ -89,9 +89,9 @@
 }
 
 /// What a sidecar owes, and how cold servers begin.
-fn obligations(plan: &Plan) -> Value {
-    let limits = &plan.day.limits;
-    let colds = plan.servers.iter().map(|s| s.cold);
+fn obligations(schedule: &Schedule) -> Value {
+    let limits = &schedule.day.limits;
+    let colds = schedule.servers.iter().map(|s| s.cold);
     json!({
         "drain_grace": micros(limits.drain_grace_ms),
         "must_ask_in": 10_000_000,
--- a/crates/emulator/src/world/faults.rs
+++ b/crates/emulator/src/simulation/faults.rs
@@ -1,15 +1,15 @@
-//! What goes wrong on the day, played at its time.
+//! What goes wrong on the scenario, played at its time.
 
-use super::World;
-use crate::day::FaultKind;
+use super::Simulation;
 use crate::discovery::Said;
 use crate::fabric::Fabric;
 use crate::fleet::{Fate, Member};
-use crate::plan::{hashed, ScheduledFault};
+use crate::scenario::FaultKind;
+use crate::schedule::{hashed, ScheduledFault};
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
-impl<F: Fabric> World<F> {
+impl<F: Fabric> Simulation<F> {
     /// Plays one fault.
     pub(super) async fn fault(self: Rc<Self>, number: usize) {
         let fault = self.plan.troubles[number].clone();
@@ -84,8 +84,8 @@
     async fn shrink(self: &Rc<Self>, fault: &ScheduledFault, met: &[usize]) {
         let step = (fault.until - fault.from) / met.len().max(1) as f64;
         for server in met {
-            let (world, member) = (self.clone(), self.member(*server));
-            spawn_local(async move { world.drain(&member).await });
+            let (simulation, member) = (self.clone(), self.member(*server));
+            spawn_local(async move { simulation.drain(&member).await });
             self.sleep(step).await;
         }
     }
@@ -105,11 +105,11 @@
     /// Sidecars are killed one after another, and each starts again later.
     async fn kill_some(self: &Rc<Self>, fault: &ScheduledFault, met: &[usize]) {
         for sidecar in met.iter().filter(|s| self.applications.asks(**s)) {
-            let (world, sidecar, after) = (self.clone(), *sidecar, fault.size * 1e3);
-            world.kill(sidecar);
+            let (simulation, sidecar, after) = (self.clone(), *sidecar, fault.size * 1e3);
+            simulation.kill(sidecar);
             spawn_local(async move {
-                world.sleep(after).await;
-                world.begin_again(sidecar).await;
+                simulation.sleep(after).await;
+                simulation.begin_again(sidecar).await;
             });
             self.sleep((fault.until - fault.from) / met.len().max(1) as f64).await;
         }
@@ -147,8 +147,8 @@
             self.start_server(member);
         }
         for sidecar in beside {
-            let world = self.clone();
-            spawn_local(async move { world.begin_again(sidecar).await });
+            let simulation = self.clone();
+            spawn_local(async move { simulation.begin_again(sidecar).await });
         }
     }
 
@@ -160,14 +160,14 @@
             let Some(oldest) = up.first().cloned() else { return };
             let zone = oldest.model.borrow().plan.zone;
             let same_place = round % 2 == 1;
-            let world = self.clone();
+            let simulation = self.clone();
             spawn_local(async move {
                 if !same_place {
-                    world.add_server(zone, None);
+                    simulation.add_server(zone, None);
                 }
-                world.drain(&oldest).await;
+                simulation.drain(&oldest).await;
                 if same_place {
-                    world.add_server(zone, Some(oldest.place));
+                    simulation.add_server(zone, Some(oldest.place));
                 }
             });
             round += 1;
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! The world of a day: it starts the sidecars, lets the day happen to them, and ends with its books.
+//! The simulation of a scenario: it owns clients, servers, discovery and sidecars, and plays the schedule.
 
 mod config;
 mod faults;
@@ -10,67 +10,68 @@
 pub use observers::Sample;
 pub use sidecars::{Sidecars, Signal};
 
+use crate::accounting::RequestAccounting;
 use crate::applications::Applications;
 use crate::client::Clients;
 use crate::discovery;
 use crate::environment::Environment;
 use crate::fabric::Fabric;
 use crate::fleet::{Fleet, Member, Members};
-use crate::ledger::Ledger;
 use crate::misbehaving::MisbehavingClients;
-use crate::plan::Plan;
+use crate::schedule::Schedule;
 use crate::server::Server;
 use servers::server_seed;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use tokio::task::{spawn_local, JoinHandle};
 
-/// The world of a day.
-pub struct World<F: Fabric> {
+/// The simulation of a scenario.
+pub struct Simulation<F: Fabric> {
     /// What all parties share.
     pub environment: Rc<Environment<F>>,
-    /// The day's draw.
-    pub plan: Rc<Plan>,
+    /// The schedule of the scenario, as drawn by its seed.
+    pub plan: Rc<Schedule>,
     /// The list, and who tells it.
     discovery: Rc<discovery::Service<F>>,
-    /// The books.
-    pub ledger: Rc<RefCell<Ledger>>,
+    /// What became of every request.
+    pub ledger: Rc<RefCell<RequestAccounting>>,
     /// The fleet by second.
     pub samples: RefCell<Vec<Sample>>,
-    /// Mean work of the day's requests.
+    /// Mean work of the scenario's requests.
     mean_work: f64,
     members: Rc<Members>,
     fleet: Rc<Fleet<F>>,
     applications: Rc<Applications>,
     misbehaving: Rc<MisbehavingClients<F>>,
-    /// The clients of the day.
+    /// The clients of the scenario.
     pub clients: Rc<Clients<F>>,
     sidecars: Rc<dyn Sidecars>,
     ending: Cell<bool>,
 }
 
-impl<F: Fabric> World<F> {
-    /// A world at its beginning; `epoch` is the Unix time (ms) that its clocks show then.
+impl<F: Fabric> Simulation<F> {
+    /// A simulation at its beginning; `epoch` is the Unix time (ms) that its clocks show then.
     pub fn new(
         fabric: F,
-        plan: Plan,
+        schedule: Schedule,
         addresses: Addresses,
         epoch: f64,
         sidecars: Rc<dyn Sidecars>,
-    ) -> Rc<World<F>> {
-        let mean_work = plan.arrivals.iter().map(|a| a.work).sum::<f64>() / plan.arrivals.len().max(1) as f64;
-        let members = plan.servers.iter().enumerate().map(|(n, server)| {
-            let model = Server::new(server.clone(), server_seed(&plan, 41, n), mean_work);
+    ) -> Rc<Simulation<F>> {
+        let mean_work =
+            schedule.arrivals.iter().map(|a| a.work).sum::<f64>() / schedule.arrivals.len().max(1) as f64;
+        let members = schedule.servers.iter().enumerate().map(|(n, server)| {
+            let model = Server::new(server.clone(), server_seed(&schedule, 41, n), mean_work);
             Member::new(n, n, model)
         });
         let members = Rc::new(Members::new(members.collect()));
-        let count = plan.sidecars.len();
-        let environment = Rc::new(Environment::new(fabric, plan, addresses, epoch));
+        let count = schedule.sidecars.len();
+        let environment = Rc::new(Environment::new(fabric, schedule, addresses, epoch));
         let applications = Rc::new(Applications::new(count));
-        let plan = environment.plan.clone();
-        Rc::new(World {
+        let schedule = environment.schedule.clone();
+        Rc::new(Simulation {
             discovery: discovery::Service::new(environment.clone(), members.clone()),
-            ledger: environment.ledger.clone(),
+            ledger: environment.accounting.clone(),
             samples: RefCell::default(),
             mean_work,
             clients: Clients::new(environment.clone(), applications.clone(), members.clone()),
@@ -81,11 +82,11 @@
             sidecars,
             ending: Cell::new(false),
             environment,
-            plan,
+            plan: schedule,
         })
     }
 
-    /// The time: ms since the world began.
+    /// The time: ms since the simulation began.
     pub fn now(&self) -> f64 {
         self.environment.clock.now()
     }
@@ -100,12 +101,12 @@
         self.environment.clock.sleep(millis).await;
     }
 
-    /// A time of the day as the world's.
+    /// A time of the scenario as the simulation's.
     pub fn day_at(&self, at: f64) -> f64 {
         self.environment.clock.day_at(at)
     }
 
-    /// When the day began.
+    /// When the scenario began.
     pub fn day_start(&self) -> f64 {
         self.environment.clock.day_start()
     }
@@ -120,7 +121,7 @@
         self.members.all()
     }
 
-    /// Plays the day to its end. The error says why it could not begin.
+    /// Plays the scenario to its end. The error says why it could not begin.
     pub async fn play(self: &Rc<Self>) -> Result<(), String> {
         self.open();
         tokio::task::yield_now().await;
@@ -136,7 +137,7 @@
         let longest = self.plan.day.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
         self.until(self.day_at(self.plan.day.length_s * 1e3 + longest)).await;
         sample.abort();
-        self.compare_books().await;
+        self.compare_counters().await;
         watch.abort();
         faults.iter().for_each(JoinHandle::abort);
         self.expect_ends();
--- a/crates/emulator/src/world/observers.rs
+++ b/crates/emulator/src/simulation/observers.rs
@@ -1,8 +1,8 @@
-//! What is looked at while the day is played and at its end: the sidecars' processes, the fleet, the books.
+//! What is looked at while the scenario is played and at its end: the sidecars' processes, the fleet, the accounting.
 
-use super::World;
+use super::Simulation;
+use crate::accounting::{Rule, TryEnd};
 use crate::fabric::Fabric;
-use crate::ledger::{Rule, TryEnd};
 use serde::Serialize;
 use std::rc::Rc;
 
@@ -12,7 +12,7 @@
 /// The fleet in one second.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Sample {
-    /// Second of the day.
+    /// Second of the scenario.
     pub second: usize,
     /// Requests held by each server; negative where it is not in service.
     pub held: Vec<f64>,
@@ -24,7 +24,7 @@
     pub idle: f64,
 }
 
-impl<F: Fabric> World<F> {
+impl<F: Fabric> Simulation<F> {
     /// Looks at the sidecars: whether they run, and what they hold.
     pub(super) async fn watch(self: Rc<Self>) {
         loop {
@@ -39,10 +39,10 @@
         let limits = &self.plan.day.limits;
         let (descriptors, memory) = self.sidecars.holds(sidecar);
         if let Some(held) = descriptors {
-            self.ledger.borrow_mut().holds(self.now(), sidecar, held, limits.sockets);
+            self.environment.accounting.borrow_mut().holds(self.now(), sidecar, held, limits.sockets);
         }
         if let Some(mb) = memory.filter(|mb| *mb > limits.memory_mb) {
-            self.environment.broke(
+            self.environment.record_violation(
                 Rule::Memory,
                 sidecar,
                 None,
@@ -51,12 +51,12 @@
         }
         let meant = self.applications.meant(sidecar);
         if meant && self.sidecars.ended(sidecar) {
-            self.environment.broke(Rule::Crash, sidecar, None, "it ended".into());
+            self.environment.record_violation(Rule::Crash, sidecar, None, "it ended".into());
             self.kill(sidecar);
         }
     }
 
-    /// Takes a sample each second of the day.
+    /// Takes a sample each second of the scenario.
     pub(super) async fn sample(self: Rc<Self>) {
         for second in 0.. {
             self.until(self.day_at(second as f64 * 1e3 + 500.0)).await;
@@ -86,34 +86,36 @@
         sample
     }
 
-    /// Holds the sidecars' books against the emulator's.
-    pub(super) async fn compare_books(&self) {
+    /// Compares the sidecars' counters with the request accounting.
+    pub(super) async fn compare_counters(&self) {
         for sidecar in 0..self.plan.sidecars.len() {
             if self.applications.starts(sidecar) != 1 || !self.applications.asks(sidecar) {
                 continue;
             }
             let Some(answer) = self.call(sidecar, "/health/counters").await else { continue };
             let text = String::from_utf8_lossy(&answer.body).into_owned();
-            for what in self.book_faults(sidecar, &text) {
-                self.environment.broke(Rule::Books, sidecar, None, what);
+            for what in self.counter_faults(sidecar, &text) {
+                self.environment.record_violation(Rule::Books, sidecar, None, what);
             }
         }
     }
 
     /// Where a sidecar's counters differ from what its clients saw.
-    fn book_faults(&self, sidecar: usize, text: &str) -> Vec<String> {
+    fn counter_faults(&self, sidecar: usize, text: &str) -> Vec<String> {
         let (mut taken, mut served, mut refused) = (0, 0, 0);
-        let ledger = self.ledger.borrow();
+        let accounting = self.environment.accounting.borrow();
         let of_sidecar =
-            ledger.tries.iter().filter(|t| self.plan.arrivals[t.flow].sidecar == sidecar && t.taken);
+            accounting.tries.iter().filter(|t| self.plan.arrivals[t.flow].sidecar == sidecar && t.taken);
         for one in of_sidecar {
             taken += 1;
             served += u64::from(one.end == TryEnd::Served);
             refused += u64::from(matches!(one.end, TryEnd::Refused(_)));
         }
         let pairs = [("flows_taken", taken), ("flows_served", served), ("flows_refused", refused)];
-        let differ = pairs.into_iter().filter(|(name, books)| counter(text, name) != *books);
-        differ.map(|(name, books)| format!("{name} {} there, {books} here", counter(text, name))).collect()
+        let differ = pairs.into_iter().filter(|(name, counted)| counter(text, name) != *counted);
+        differ
+            .map(|(name, counted)| format!("{name} {} there, {counted} here", counter(text, name)))
+            .collect()
     }
 }
 
--- a/crates/emulator/src/world/servers.rs
+++ b/crates/emulator/src/simulation/servers.rs
@@ -1,11 +1,11 @@
 //! Servers that start, drain, go and are replaced, and what the list is told of them.
 
-use super::World;
-use crate::day::FaultKind;
+use super::Simulation;
 use crate::discovery::Said;
 use crate::fabric::Fabric;
 use crate::fleet::Member;
-use crate::plan::{hashed, Plan};
+use crate::scenario::FaultKind;
+use crate::schedule::{hashed, Schedule};
 use crate::server::{Phase, Server};
 use std::rc::Rc;
 use tokio::task::spawn_local;
@@ -14,25 +14,29 @@
 const DRAIN: f64 = 4_000.0;
 
 /// Seed of a server's own chances; `purpose` tells those of the beginning from those added later.
-pub(super) fn server_seed(plan: &Plan, purpose: u64, number: usize) -> u64 {
-    (hashed(plan.seed, &[purpose, number as u64]) * 1e15) as u64
+pub(super) fn server_seed(schedule: &Schedule, purpose: u64, number: usize) -> u64 {
+    (hashed(schedule.seed, &[purpose, number as u64]) * 1e15) as u64
 }
 
-impl<F: Fabric> World<F> {
+impl<F: Fabric> Simulation<F> {
     /// Announces something to the list: it shows there after its delay, and later while the list is stale.
     pub(super) fn announce(self: &Rc<Self>, server: usize, said: Said, delay: f64) {
         let number = self.discovery.registry.announce(server);
-        let world = self.clone();
+        let simulation = self.clone();
         let up_since = self.environment.clock.unix_now();
         spawn_local(async move {
-            let stale: f64 = world
+            let stale: f64 = simulation
                 .plan
-                .active(FaultKind::Stale, world.now() - world.day_start())
+                .active(FaultKind::Stale, simulation.now() - simulation.day_start())
                 .map(|t| t.size * 1e3)
                 .sum();
-            world.sleep(delay + stale).await;
-            if world.discovery.registry.apply(server, number, said, up_since) {
-                world.ledger.borrow_mut().list_has(world.now(), server, said == Said::InService);
+            simulation.sleep(delay + stale).await;
+            if simulation.discovery.registry.apply(server, number, said, up_since) {
+                simulation.environment.accounting.borrow_mut().list_has(
+                    simulation.now(),
+                    server,
+                    said == Said::InService,
+                );
             }
         });
     }
--- a/crates/emulator/src/world/sidecars.rs
+++ b/crates/emulator/src/simulation/sidecars.rs
@@ -1,9 +1,9 @@
 //! The processes of the sidecars: starts, restarts and kills, and the applications beside them.
 
-use super::World;
+use super::Simulation;
+use crate::accounting::Rule;
 use crate::fabric::Fabric;
 use crate::http::{Answer, Wire};
-use crate::ledger::Rule;
 use serde_json::Value;
 use std::rc::Rc;
 use std::time::Duration;
@@ -39,7 +39,7 @@
     fn holds(&self, number: usize) -> (Option<usize>, Option<f64>);
 }
 
-impl<F: Fabric> World<F> {
+impl<F: Fabric> Simulation<F> {
     /// A call of the emulator's own to a sidecar.
     pub async fn call(&self, sidecar: usize, path: &str) -> Option<Answer> {
         let asks = async {
@@ -56,8 +56,8 @@
     pub(super) async fn start_all(self: &Rc<Self>) -> Result<(), String> {
         let starting: Vec<JoinHandle<Result<(), String>>> = (0..self.plan.sidecars.len())
             .map(|sidecar| {
-                let world = self.clone();
-                spawn_local(async move { world.start(sidecar).await })
+                let simulation = self.clone();
+                spawn_local(async move { simulation.start(sidecar).await })
             })
             .collect();
         for one in starting {
@@ -89,7 +89,7 @@
             self.sleep(20.0).await;
         }
         let what = format!("not ready {:.0} ms after its start", self.now() - began);
-        self.environment.broke(Rule::NotReady, sidecar, None, what);
+        self.environment.record_violation(Rule::NotReady, sidecar, None, what);
         Ok(())
     }
 
@@ -135,7 +135,7 @@
             return;
         }
         if let Err(reason) = self.start(sidecar).await {
-            self.environment.broke(Rule::NotReady, sidecar, None, reason);
+            self.environment.record_violation(Rule::NotReady, sidecar, None, reason);
         }
     }
 }
