--- a/crates/emulator/src/discovery/mod.rs
+++ b/crates/emulator/src/discovery/mod.rs
@@ -1,8 +1,11 @@
-//! Discovery: the list of config servers, late, from one service that answers calls in turn.
+//! The discovery service: serves the registry of servers as a whole list or as a watch of its changes.
+//!
+//! One service answers the calls of all sidecars in the order of their arrival, each taking a fixed time; a
+//! call that would have to wait longer than its timeout fails with 503.
 
 mod registry;
 
-pub use registry::{Registry, Said};
+pub use registry::{ListedStatus, Registry, ServiceState};
 
 use crate::environment::Environment;
 use crate::fabric::Fabric;
@@ -17,32 +20,32 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// How often an idle watch beats.
+/// Interval of the heartbeat (an empty line) on a watch without changes.
 const BEAT: Duration = Duration::from_millis(2_000);
-/// How long the old place keeps its connections after a move (ms).
+/// How long connections stay open at the old address after the service has moved (ms).
 const CLOSE_AFTER_MOVE: f64 = 1_500.0;
-/// How long a bind waits where the one before at its address is not quite gone.
+/// Interval of attempts to bind an address that is still in use.
 const BIND_AGAIN: Duration = Duration::from_millis(20);
 
-/// The one service that all sidecars ask, each at an address of its own.
+/// The discovery service; each sidecar reaches it at an address of its own.
 pub struct Service<F: Fabric> {
     environment: Rc<Environment<F>>,
     members: Rc<Members>,
-    /// The list.
+    /// The registry that it serves.
     pub registry: Registry,
-    /// When it is free for the next call (ms).
+    /// When it has answered all calls that wait (ms).
     free: Cell<f64>,
 }
 
 impl<F: Fabric> Service<F> {
-    /// A service that lists these servers as in service.
+    /// Creates a service whose registry lists these servers as in service.
     pub fn new(environment: Rc<Environment<F>>, members: Rc<Members>) -> Rc<Service<F>> {
         let registry = Registry::default();
         registry.begin(&members.all());
         Rc::new(Service { environment, members, registry, free: Cell::new(0.0) })
     }
 
-    /// An entry in the list's form, as a sidecar sees it.
+    /// The JSON form of an entry, with the server's address for this sidecar.
     fn entry(&self, sidecar: usize, entry: &Entry) -> Value {
         let environment = &self.environment;
         let member = self.members.get(entry.server);
@@ -53,19 +56,19 @@
             "locality": environment.schedule.day.fleet.zones[model.plan.zone],
             "flavor": model.plan.kind,
             "cell": model.plan.cell,
-            "phase": entry.said.word(),
+            "phase": entry.status.word(),
             "size": model.plan.size,
             "up_since_ms": entry.up_since,
         })
     }
 
-    /// The whole list as it is now, or what changed after a version, in discovery's form; what it names counts
-    /// as told to the sidecar.
+    /// The JSON form of the whole list, or of the changes after a revision. The servers in it are recorded as
+    /// known to the sidecar.
     pub fn told(&self, sidecar: usize, after: Option<u64>) -> Value {
         let entries = self.registry.entries.borrow();
         let shown = entries.values().filter(|e| match after {
             Some(revision) => e.revision > revision,
-            None => e.said != Said::Terminated,
+            None => e.status != ListedStatus::Terminated,
         });
         let shown: Vec<&Entry> = shown.collect();
         let members: Vec<Value> = shown.iter().map(|e| self.entry(sidecar, e)).collect();
@@ -73,17 +76,17 @@
         let mut accounting = self.environment.accounting.borrow_mut();
         for entry in shown {
             let place = self.members.get(entry.server).place;
-            accounting.list_said(now, sidecar, entry.server, place, entry.said == Said::InService);
+            accounting.list_said(now, sidecar, entry.server, place, entry.status == ListedStatus::InService);
         }
         let revision = *self.registry.revision.borrow();
         json!({"revision": revision, "complete": after.is_none(), "members": members})
     }
 
-    /// Listens for one sidecar, where discovery is now.
+    /// Listens for one sidecar at the service's current address; never returns while the simulation runs.
     pub async fn listen(self: Rc<Self>, sidecar: usize) {
         let mut state = self.registry.state.subscribe();
         loop {
-            let (runs, moves) = *state.borrow_and_update();
+            let ServiceState { runs, moves } = *state.borrow_and_update();
             if !runs {
                 if state.changed().await.is_err() {
                     return;
@@ -102,7 +105,7 @@
     async fn accept(
         self: &Rc<Self>,
         listener: &F::Listener,
-        state: &mut watch::Receiver<(bool, usize)>,
+        state: &mut watch::Receiver<ServiceState>,
         sidecar: usize,
     ) {
         loop {
@@ -130,23 +133,23 @@
 
     /// Waits until the connections that are open now end: at once where the service goes down, and a little
     /// later where it moves.
-    async fn ends(&self, mut state: watch::Receiver<(bool, usize)>) {
-        let (_, moves) = *state.borrow_and_update();
+    async fn ends(&self, mut state: watch::Receiver<ServiceState>) {
+        let moves = state.borrow_and_update().moves;
         loop {
             if state.changed().await.is_err() {
                 return std::future::pending().await;
             }
-            let (runs, now) = *state.borrow_and_update();
-            if !runs {
+            let now = *state.borrow_and_update();
+            if !now.runs {
                 return;
             }
-            if now != moves {
+            if now.moves != moves {
                 return self.environment.clock.sleep(CLOSE_AFTER_MOVE).await;
             }
         }
     }
 
-    /// Waits for a call's turn; false where it would wait too long, and fails.
+    /// Waits until a call is answered; false where it failed by its timeout.
     async fn turn(&self) -> bool {
         let (clock, call) = (&self.environment.clock, &self.environment.schedule.discovery);
         let now = clock.now();
@@ -184,12 +187,12 @@
         }
     }
 
-    /// A watch: changes as they come, a beat where none do.
+    /// Streams changes after a revision as they happen, and heartbeats between them.
     async fn watch(&self, sidecar: usize, wire: &mut Wire<F::Stream>, index: u64) {
         let mut revision = self.registry.revision.subscribe();
         let known = *revision.borrow_and_update();
         let head = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
-        // A version that it never had: the whole list.
+        // A revision that does not exist yet is answered with the whole list.
         let first = self.told(sidecar, (index <= known).then_some(index));
         if wire.write(head).await.is_err() || chunk(wire, &first.to_string()).await.is_err() {
             return;
@@ -220,19 +223,19 @@
     }
 }
 
-/// What a sidecar asks of the service.
+/// A call of a sidecar.
 enum Call {
     /// The whole list.
     List,
-    /// What changes after a version.
+    /// The changes after a revision.
     Watch(u64),
-    /// A watch from a version that is no number.
+    /// A watch whose revision is no number.
     Faulty,
-    /// Nothing that it knows.
+    /// An unknown path.
     Unknown,
 }
 
-/// The call of a path.
+/// Parses the path of a call.
 fn call(path: &str) -> Call {
     let Some(query) = path.strip_prefix("/registry/instances") else { return Call::Unknown };
     match query.strip_prefix("?stream=1&index=").map(str::parse) {
@@ -242,7 +245,7 @@
     }
 }
 
-/// Writes a text as one chunk that ends its line.
+/// Writes a text and a newline as one chunk.
 async fn chunk<S: AsyncRead + AsyncWrite + Unpin>(wire: &mut Wire<S>, text: &str) -> std::io::Result<()> {
     wire.write(format!("{:x}\r\n{text}\n\r\n", text.len() + 1).as_bytes()).await
 }
--- a/crates/emulator/src/discovery/registry.rs
+++ b/crates/emulator/src/discovery/registry.rs
@@ -1,4 +1,4 @@
-//! The list of config servers with its versions, and the order of what is announced to it.
+//! The registry of servers: entries with revisions, and the order in which announcements take effect.
 
 use crate::fleet::Member;
 use std::cell::RefCell;
@@ -6,47 +6,56 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// What the list says of a server.
+/// The status of a server in the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Said {
-    /// It is in service.
+pub enum ListedStatus {
+    /// In service.
     InService,
-    /// It finishes what it has.
+    /// Draining: it finishes the requests that it holds.
     Terminating,
-    /// It is gone: only among changes.
+    /// Gone; appears only in change notifications, never in a whole list.
     Terminated,
 }
 
-impl Said {
-    /// The word for it in the list.
+impl ListedStatus {
+    /// Its name on the wire.
     pub(super) fn word(self) -> &'static str {
         match self {
-            Said::InService => "in_service",
-            Said::Terminating => "terminating",
-            Said::Terminated => "terminated",
+            ListedStatus::InService => "in_service",
+            ListedStatus::Terminating => "terminating",
+            ListedStatus::Terminated => "terminated",
         }
     }
 }
 
-/// One entry.
+/// The entry of one server.
 #[derive(Clone, Debug)]
 pub(super) struct Entry {
     pub(super) server: usize,
-    pub(super) said: Said,
+    pub(super) status: ListedStatus,
     /// Unix time (ms) of its last start; 0 for long ago.
     pub(super) up_since: f64,
     pub(super) revision: u64,
 }
 
-/// The list with its versions.
+/// The state of the discovery service.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ServiceState {
+    /// Whether it accepts connections.
+    pub runs: bool,
+    /// How often it has moved to another address.
+    pub moves: usize,
+}
+
+/// The list of servers with its revisions.
 #[derive(Debug)]
 pub struct Registry {
     pub(super) entries: RefCell<BTreeMap<usize, Entry>>,
     pub(super) revision: watch::Sender<u64>,
     /// Announcements made so far for each server, and the last one that took effect.
     order: RefCell<BTreeMap<usize, (u64, u64)>>,
-    /// Whether it runs, and how often it has moved.
-    pub state: watch::Sender<(bool, usize)>,
+    /// Whether the service runs, and where.
+    pub state: watch::Sender<ServiceState>,
 }
 
 impl Default for Registry {
@@ -55,21 +64,22 @@
             entries: RefCell::default(),
             revision: watch::channel(1).0,
             order: RefCell::default(),
-            state: watch::channel((true, 0)).0,
+            state: watch::channel(ServiceState { runs: true, moves: 0 }).0,
         }
     }
 }
 
 impl Registry {
-    /// What the list says at the start.
+    /// Lists the servers that a simulation begins with as in service, at revision 1.
     pub fn begin(&self, members: &[Rc<Member>]) {
         for member in members {
-            let entry = Entry { server: member.number, said: Said::InService, up_since: 0.0, revision: 1 };
+            let entry =
+                Entry { server: member.number, status: ListedStatus::InService, up_since: 0.0, revision: 1 };
             self.entries.borrow_mut().insert(member.number, entry);
         }
     }
 
-    /// An announcement is made; returns its number, which [`Registry::apply`] wants back.
+    /// Counts an announcement of a server's status; the returned number orders it in [`Registry::apply`].
     pub fn announce(&self, server: usize) -> u64 {
         let mut order = self.order.borrow_mut();
         let (made, _) = order.entry(server).or_default();
@@ -77,8 +87,10 @@
         *made
     }
 
-    /// An announcement takes effect, unless a later one of that server already has.
-    pub fn apply(&self, server: usize, number: u64, said: Said, up_since: f64) -> bool {
+    /// Applies an announcement, unless a later one of that server has been applied; returns whether it was.
+    /// `up_since` is the Unix time (ms) of the server's start and counts only with
+    /// [`ListedStatus::InService`].
+    pub fn apply(&self, server: usize, number: u64, status: ListedStatus, up_since: f64) -> bool {
         {
             let mut order = self.order.borrow_mut();
             let (_, applied) = order.entry(server).or_default();
@@ -88,12 +100,12 @@
             *applied = number;
         }
         let revision = *self.revision.borrow() + 1;
-        let up_since = if said == Said::InService {
+        let up_since = if status == ListedStatus::InService {
             up_since
         } else {
             self.entries.borrow().get(&server).map_or(0.0, |e| e.up_since)
         };
-        self.entries.borrow_mut().insert(server, Entry { server, said, up_since, revision });
+        self.entries.borrow_mut().insert(server, Entry { server, status, up_since, revision });
         self.revision.send_replace(revision);
         true
     }
--- a/crates/emulator/src/fleet/connection.rs
+++ b/crates/emulator/src/fleet/connection.rs
@@ -1,7 +1,7 @@
 //! One connection of a sidecar to a server: its place in the server's table, and its requests in turn.
 
-use super::requests::Order;
-use super::{Fate, Fleet, Member};
+use super::requests::IncomingAttempt;
+use super::{Fleet, Member, Reachability};
 use crate::environment::Environment;
 use crate::fabric::Fabric;
 use crate::http::{answer_bytes, Request, Unread, Wire};
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 /// One place in a server's table of connections.
-struct Seat(Rc<Member>, Option<f64>);
+struct ConnectionSlot(Rc<Member>, Option<f64>);
 
-impl Drop for Seat {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         let mut model = self.0.model.borrow_mut();
         // A process that has started since has a table of its own.
@@ -33,31 +33,31 @@
 impl<F: Fabric> Connection<F> {
     /// Serves a stream until it ends, or until the server's fate ends it.
     pub(super) async fn serve(fleet: Rc<Fleet<F>>, member: Rc<Member>, sidecar: usize, stream: F::Stream) {
-        let mut fate = member.fate.subscribe();
+        let mut reachability = member.reachability.subscribe();
         let (crowded, started) = member.with(fleet.environment.clock.now(), |m| {
             m.conns += 1;
             m.chore(m.plan.handshake.0);
             (m.conns > m.plan.conns.0, m.started())
         });
-        let seat = Seat(member.clone(), started);
+        let slot = ConnectionSlot(member.clone(), started);
         *fleet.environment.accounting.borrow_mut().connections.entry(member.number).or_default() += 1;
         let connection = Connection { fleet, member, sidecar, crowded };
         let mut wire = Wire::new(stream);
         let ended = tokio::select! {
             biased;
-            _ = fate.changed() => false,
+            _ = reachability.changed() => false,
             () = connection.converse(&mut wire) => true,
         };
         if !ended {
             // Cut off it says nothing until that ends; then, as at a death, it is reset.
-            while *fate.borrow_and_update() == Fate::Cut {
-                if fate.changed().await.is_err() {
+            while *reachability.borrow_and_update() == Reachability::Cut {
+                if reachability.changed().await.is_err() {
                     break;
                 }
             }
             connection.environment().fabric.reset(wire.stream);
         }
-        drop(seat);
+        drop(slot);
     }
 
     /// What all parties share.
@@ -83,7 +83,7 @@
             let path = request.path.split('?').next().unwrap_or_default();
             let goes_on = match path {
                 "/stats" | "/health/live" => self.probe(wire, way, path == "/stats").await,
-                _ => Order { connection: self, request: &request, came, way }.answer(wire).await,
+                _ => IncomingAttempt { connection: self, request: &request, came, way }.answer(wire).await,
             };
             if !goes_on {
                 return;
--- a/crates/emulator/src/fleet/member.rs
+++ b/crates/emulator/src/fleet/member.rs
@@ -9,7 +9,7 @@
 
 /// What the network makes of a server's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum Reachability {
     /// It can be reached; the number counts its starts.
     Up(u64),
     /// It is gone: connections are reset, new ones refused.
@@ -27,7 +27,7 @@
     /// The model.
     pub model: RefCell<Server>,
     /// What the network makes of it.
-    pub fate: watch::Sender<Fate>,
+    pub reachability: watch::Sender<Reachability>,
     pub(super) wake: Notify,
     waiting: RefCell<BTreeMap<u64, oneshot::Sender<Done>>>,
     jobs: Cell<u64>,
@@ -40,7 +40,7 @@
             number,
             place,
             model: RefCell::new(model),
-            fate: watch::channel(Fate::Up(0)).0,
+            reachability: watch::channel(Reachability::Up(0)).0,
             wake: Notify::new(),
             waiting: RefCell::default(),
             jobs: Cell::new(0),
@@ -92,17 +92,17 @@
     pub fn die(&self, now: f64) {
         self.with(now, |m| m.stop());
         self.waiting.borrow_mut().clear();
-        self.fate.send_replace(Fate::Down);
+        self.reachability.send_replace(Reachability::Down);
     }
 
     /// Its process starts anew, cold.
     pub fn start(&self, now: f64, start: u64) {
         self.with(now, |m| m.start(now));
-        self.fate.send_replace(Fate::Up(start));
+        self.reachability.send_replace(Reachability::Up(start));
     }
 
     /// Whether it takes work and can be reached.
     pub fn in_service(&self) -> bool {
-        matches!(*self.fate.borrow(), Fate::Up(_)) && self.model.borrow().phase == Phase::Up
+        matches!(*self.reachability.borrow(), Reachability::Up(_)) && self.model.borrow().phase == Phase::Up
     }
 }
--- a/crates/emulator/src/fleet/mod.rs
+++ b/crates/emulator/src/fleet/mod.rs
@@ -6,7 +6,7 @@
 mod probes;
 mod requests;
 
-pub use member::{Fate, Member};
+pub use member::{Member, Reachability};
 pub use members::Members;
 
 use crate::environment::Environment;
@@ -83,18 +83,18 @@
     async fn listen(self: Rc<Self>, member: Rc<Member>, sidecar: usize) {
         let fabric = &self.environment.fabric;
         let address = self.environment.addresses.server(sidecar, member.place);
-        let mut fate = member.fate.subscribe();
+        let mut reachability = member.reachability.subscribe();
         loop {
-            let now = *fate.borrow_and_update();
+            let now = *reachability.borrow_and_update();
             match now {
-                Fate::Up(_) => match fabric.bind(address).await {
-                    Ok(listener) => self.accept(&listener, &mut fate, &member, sidecar).await,
+                Reachability::Up(_) => match fabric.bind(address).await {
+                    Ok(listener) => self.accept(&listener, &mut reachability, &member, sidecar).await,
                     Err(_) => tokio::time::sleep(BIND_AGAIN).await,
                 },
-                Fate::Down => drop(fate.changed().await),
-                Fate::Cut => {
+                Reachability::Down => drop(reachability.changed().await),
+                Reachability::Cut => {
                     let _mute = fabric.mute(address).await;
-                    let _ = fate.changed().await;
+                    let _ = reachability.changed().await;
                 }
             }
         }
@@ -104,14 +104,14 @@
     async fn accept(
         self: &Rc<Self>,
         listener: &F::Listener,
-        fate: &mut watch::Receiver<Fate>,
+        reachability: &mut watch::Receiver<Reachability>,
         member: &Rc<Member>,
         sidecar: usize,
     ) {
         loop {
             tokio::select! {
                 biased;
-                _ = fate.changed() => return,
+                _ = reachability.changed() => return,
                 stream = self.environment.fabric.accept(listener) => {
                     let Ok(stream) = stream else { continue };
                     spawn_local(Connection::serve(self.clone(), member.clone(), sidecar, stream));
--- a/crates/emulator/src/fleet/requests.rs
+++ b/crates/emulator/src/fleet/requests.rs
@@ -27,7 +27,7 @@
 }
 
 /// A request at a server, with how it came there.
-pub(super) struct Order<'a, F: Fabric> {
+pub(super) struct IncomingAttempt<'a, F: Fabric> {
     pub(super) connection: &'a Connection<F>,
     pub(super) request: &'a Request,
     /// When its first byte came (ms).
@@ -38,7 +38,7 @@
 
 /// The attempt that a request is.
 #[derive(Clone, Copy)]
-struct Known {
+struct AttemptKey {
     /// Its `Request-Id`.
     id: u64,
     /// Its try, and its number in that.
@@ -46,7 +46,7 @@
     flow: usize,
 }
 
-impl<F: Fabric> Order<'_, F> {
+impl<F: Fabric> IncomingAttempt<'_, F> {
     fn environment(&self) -> &Environment<F> {
         self.connection.environment()
     }
@@ -71,7 +71,7 @@
             return wire.write(&answer_bytes(400, &[], b"nobody asked that\n")).await.is_ok();
         };
         let open = Open { environment, attempt };
-        let known = Known { id, attempt, flow: self.accounting().tries[attempt.0].flow };
+        let known = AttemptKey { id, attempt, flow: self.accounting().tries[attempt.0].flow };
         if self.lacks_key(known) {
             return wire.write(&answer_bytes(400, &[], b"nobody asked that\n")).await.is_ok();
         }
@@ -107,17 +107,17 @@
         self.environment().record_violation(rule, self.connection.sidecar, Some(flow), what);
     }
 
-    fn arrival(&self, known: Known) -> &Arrival {
+    fn arrival(&self, known: AttemptKey) -> &Arrival {
         &self.environment().schedule.arrivals[known.flow]
     }
 
     /// A number from 0 to 1 that belongs to this attempt and one purpose.
-    fn draw(&self, known: Known, purpose: u64) -> f64 {
+    fn draw(&self, known: AttemptKey, purpose: u64) -> f64 {
         hashed(self.environment().schedule.seed, &[purpose, known.id, known.attempt.1 as u64])
     }
 
     /// Whether the request of a keyed class came without the key that its client sent, which breaks a rule.
-    fn lacks_key(&self, known: Known) -> bool {
+    fn lacks_key(&self, known: AttemptKey) -> bool {
         let key = self.environment().schedule.key_of(known.flow);
         let lacks = key.is_some() && self.request.header("idempotency-key") != key.as_deref();
         if lacks {
@@ -128,7 +128,7 @@
     }
 
     /// The work of this attempt (ms of a standard core), which is counted as sent.
-    fn work(&self, known: Known) -> f64 {
+    fn work(&self, known: AttemptKey) -> f64 {
         let (schedule, arrival) = (&self.environment().schedule, self.arrival(known));
         let noise = schedule.day.classes[arrival.class].attempt_noise;
         let noise = noise.at(hashed(schedule.seed, &[3, arrival.class as u64]));
@@ -142,7 +142,7 @@
     }
 
     /// Whether this work is too much for a cold server, which goes down with it.
-    fn pushes_over(&self, known: Known, work: f64, now: f64) -> bool {
+    fn pushes_over(&self, known: AttemptKey, work: f64, now: f64) -> bool {
         let limits = &self.environment().schedule.day.limits;
         let pushed = self.member().with(now, |m| m.push(work, limits.fall_multiple, limits.fall_ms));
         if pushed {
@@ -155,7 +155,12 @@
     }
 
     /// Gives the model its job; the error says how the attempt ends where the server turns it away.
-    fn begin(&self, known: Known, work: f64, now: f64) -> Result<(u64, oneshot::Receiver<Done>), AttemptEnd> {
+    fn begin(
+        &self,
+        known: AttemptKey,
+        work: f64,
+        now: f64,
+    ) -> Result<(u64, oneshot::Receiver<Done>), AttemptEnd> {
         if self.connection.crowded {
             return Err(AttemptEnd::Crowded);
         }
@@ -175,7 +180,13 @@
     }
 
     /// Says that the request was not started; false where the connection ends.
-    async fn turn_away(&self, wire: &mut Wire<F::Stream>, known: Known, why: AttemptEnd, now: f64) -> bool {
+    async fn turn_away(
+        &self,
+        wire: &mut Wire<F::Stream>,
+        known: AttemptKey,
+        why: AttemptEnd,
+        now: f64,
+    ) -> bool {
         self.accounting().attempt_ended(now, known.attempt, why);
         self.environment().clock.sleep(self.way).await;
         let mut headers = vec![("not-started", "1".to_owned())];
@@ -189,7 +200,7 @@
     async fn wait(
         &self,
         wire: &mut Wire<F::Stream>,
-        known: Known,
+        known: AttemptKey,
         job: u64,
         work: f64,
         mut done: oneshot::Receiver<Done>,
@@ -207,7 +218,7 @@
         }
     }
 
-    fn hung_up(&self, known: Known, job: u64, work: f64) {
+    fn hung_up(&self, known: AttemptKey, job: u64, work: f64) {
         let now = self.environment().clock.now();
         let dropped = self.member().with(now, |m| m.hang_up(job));
         let mut accounting = self.accounting();
@@ -216,7 +227,7 @@
     }
 
     /// The answer to a job that has ended: good, an error, or corrupted.
-    fn answer_to(&self, known: Known, done: Done) -> Vec<u8> {
+    fn answer_to(&self, known: AttemptKey, done: Done) -> Vec<u8> {
         let now = self.environment().clock.now();
         if done.error {
             self.accounting().attempt_ended(now, known.attempt, AttemptEnd::Error);
@@ -228,7 +239,7 @@
         corruption.map_or_else(|| self.good(&body), |s| s.bytes(&body))
     }
 
-    fn body(&self, known: Known) -> Bytes {
+    fn body(&self, known: AttemptKey) -> Bytes {
         Bytes::from(format!(
             "{{\"id\":\"{:016x}\",\"server\":\"{}\",\"attempt\":{},\"price\":{:.2},\"valid\":true}}\n",
             known.id,
@@ -239,13 +250,13 @@
     }
 
     /// How the answer is corrupted, if it is.
-    fn corruption(&self, known: Known) -> Option<Corruption> {
+    fn corruption(&self, known: AttemptKey) -> Option<Corruption> {
         let kinds = corruption::ALL;
         let kind = (self.draw(known, 8) * kinds.len() as f64) as usize % kinds.len();
         (self.draw(known, 7) < self.connection.fleet.corrupted_share()).then(|| kinds[kind])
     }
 
-    fn record_answer(&self, known: Known, now: f64, corruption: Option<Corruption>, body: &Bytes) {
+    fn record_answer(&self, known: AttemptKey, now: f64, corruption: Option<Corruption>, body: &Bytes) {
         let mut accounting = self.accounting();
         if let Some(corruption) = corruption {
             *accounting.spoilt.entry(format!("{corruption:?}")).or_default() += 1;
--- a/crates/emulator/src/simulation/config.rs
+++ b/crates/emulator/src/simulation/config.rs
@@ -16,7 +16,7 @@
     pub fn config(&self, sidecar: usize, start: u64) -> Value {
         let schedule = &self.plan;
         let limits = &schedule.day.limits;
-        let (_, moves) = *self.discovery.registry.state.borrow();
+        let moves = self.discovery.registry.state.borrow().moves;
         let seed = (hashed(schedule.seed, &[43, sidecar as u64, start]) * (1_u64 << 53) as f64) as u64;
         json!({
             "name": schedule.sidecars[sidecar].name,
--- a/crates/emulator/src/simulation/faults.rs
+++ b/crates/emulator/src/simulation/faults.rs
@@ -1,16 +1,16 @@
-//! What goes wrong on the scenario, played at its time.
+//! Fault injection: plays each scheduled fault at its time.
 
 use super::Simulation;
-use crate::discovery::Said;
+use crate::discovery::{ListedStatus, ServiceState};
 use crate::fabric::Fabric;
-use crate::fleet::{Fate, Member};
+use crate::fleet::{Member, Reachability};
 use crate::scenario::FaultKind;
 use crate::schedule::{hashed, ScheduledFault};
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
 impl<F: Fabric> Simulation<F> {
-    /// Plays one fault.
+    /// Plays the fault of this number from its begin to its end.
     pub(super) async fn fault(self: Rc<Self>, number: usize) {
         let fault = self.plan.troubles[number].clone();
         self.until(self.day_at(fault.from)).await;
@@ -18,7 +18,7 @@
         let some = ((fault.order.len() as f64 * fault.part).ceil() as usize).min(fault.order.len());
         let met = &fault.order[..some];
         match fault.kind {
-            // They lie in the arrivals, the answers and the list.
+            // These are part of the arrivals, of the responses and of the announcements.
             FaultKind::Burst | FaultKind::Garble | FaultKind::Stale => {}
             FaultKind::Pauses => self.pauses(&fault, number, met, until).await,
             FaultKind::Slow => {
@@ -37,10 +37,10 @@
             }
             FaultKind::Shrink => self.shrink(&fault, met).await,
             FaultKind::DiscoveryDown => {
-                let (_, moves) = *self.discovery.registry.state.borrow();
-                self.discovery.registry.state.send_replace((false, moves));
+                let moves = self.discovery.registry.state.borrow().moves;
+                self.discovery.registry.state.send_replace(ServiceState { runs: false, moves });
                 self.until(until).await;
-                self.discovery.registry.state.send_replace((true, moves));
+                self.discovery.registry.state.send_replace(ServiceState { runs: true, moves });
             }
             FaultKind::Churn => self.churn(&fault, until).await,
             FaultKind::Rude => {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Servers stand still again and again.
+    /// Pauses servers every 0.8 to 2 s.
     async fn pauses(&self, fault: &ScheduledFault, number: usize, met: &[usize], until: f64) {
         let draw = |round: u64| hashed(self.plan.seed, &[45, number as u64, round]);
         let mut round = 0;
@@ -73,14 +73,14 @@
         }
     }
 
-    /// Servers work so many times slower.
+    /// Makes servers so many times slower.
     fn slow(&self, met: &[usize], times: f64) {
         for server in met {
             self.member(*server).with(self.now(), |m| m.slowed = times);
         }
     }
 
-    /// Servers drain one after another.
+    /// Drains servers one after another.
     async fn shrink(self: &Rc<Self>, fault: &ScheduledFault, met: &[usize]) {
         let step = (fault.until - fault.from) / met.len().max(1) as f64;
         for server in met {
@@ -90,19 +90,18 @@
         }
     }
 
-    /// The configuration is replaced and discovery moves, again and again.
+    /// Moves discovery and replaces the configurations at even intervals.
     async fn reload(&self, fault: &ScheduledFault) {
         let times = fault.size.max(1.0) as usize;
         let step = (fault.until - fault.from) / times as f64;
         for _ in 0..times {
-            let (runs, moves) = *self.discovery.registry.state.borrow();
-            self.discovery.registry.state.send_replace((runs, moves + 1));
+            self.discovery.registry.state.send_modify(|state| state.moves += 1);
             self.reload_sidecars();
             self.sleep(step).await;
         }
     }
 
-    /// Sidecars are killed one after another, and each starts again later.
+    /// Kills sidecars one after another; each starts again later.
     async fn kill_some(self: &Rc<Self>, fault: &ScheduledFault, met: &[usize]) {
         for sidecar in met.iter().filter(|s| self.applications.asks(**s)) {
             let (simulation, sidecar, after) = (self.clone(), *sidecar, fault.size * 1e3);
@@ -115,7 +114,7 @@
         }
     }
 
-    /// All servers go at once and start again a second later.
+    /// Stops all servers at once and starts them a second later.
     async fn restart_servers(self: &Rc<Self>) {
         let members = self.members();
         let up: Vec<_> = members.iter().filter(|m| m.in_service()).cloned().collect();
@@ -124,16 +123,17 @@
         up.iter().for_each(|m| self.start_server(m));
     }
 
-    /// Servers go silent or are reset; with a zone its sidecars may go too. All come back cold.
+    /// Cuts servers off or stops them, with the sidecars of their zone where the fault says so. At `until` (ms)
+    /// all of them start again, the servers cold.
     async fn lose(self: &Rc<Self>, fault: &ScheduledFault, lost: Vec<Rc<Member>>, until: f64) {
         let lost: Vec<_> = lost.into_iter().filter(|m| m.in_service()).collect();
         for member in &lost {
             if fault.silent {
-                member.fate.send_replace(Fate::Cut);
+                member.reachability.send_replace(Reachability::Cut);
             } else {
                 member.die(self.now());
             }
-            self.announce(member.number, Said::Terminated, self.plan.discovery.silent_notice);
+            self.announce(member.number, ListedStatus::Terminated, self.plan.discovery.silent_notice);
         }
         let beside = (0..self.plan.sidecars.len()).filter(|s| {
             fault.sidecars && self.plan.sidecars[*s].zone == fault.zone && self.applications.asks(*s)
--- a/crates/emulator/src/simulation/servers.rs
+++ b/crates/emulator/src/simulation/servers.rs
@@ -1,7 +1,7 @@
 //! Servers that start, drain, go and are replaced, and what the list is told of them.
 
 use super::Simulation;
-use crate::discovery::Said;
+use crate::discovery::ListedStatus;
 use crate::fabric::Fabric;
 use crate::fleet::Member;
 use crate::scenario::FaultKind;
@@ -20,7 +20,7 @@
 
 impl<F: Fabric> Simulation<F> {
     /// Announces something to the list: it shows there after its delay, and later while the list is stale.
-    pub(super) fn announce(self: &Rc<Self>, server: usize, said: Said, delay: f64) {
+    pub(super) fn announce(self: &Rc<Self>, server: usize, status: ListedStatus, delay: f64) {
         let number = self.discovery.registry.announce(server);
         let simulation = self.clone();
         let up_since = self.environment.clock.unix_now();
@@ -31,11 +31,11 @@
                 .map(|t| t.size * 1e3)
                 .sum();
             simulation.sleep(delay + stale).await;
-            if simulation.discovery.registry.apply(server, number, said, up_since) {
+            if simulation.discovery.registry.apply(server, number, status, up_since) {
                 simulation.environment.accounting.borrow_mut().list_has(
                     simulation.now(),
                     server,
-                    said == Said::InService,
+                    status == ListedStatus::InService,
                 );
             }
         });
@@ -44,17 +44,17 @@
     /// A server's process starts, cold.
     pub(super) fn start_server(self: &Rc<Self>, member: &Rc<Member>) {
         member.start(self.now(), self.fleet.next_draw());
-        self.announce(member.number, Said::InService, self.plan.discovery.add);
+        self.announce(member.number, ListedStatus::InService, self.plan.discovery.add);
     }
 
     /// A server drains and goes.
     pub(super) async fn drain(self: &Rc<Self>, member: &Rc<Member>) {
         member.with(self.now(), |m| m.phase = Phase::Draining);
-        self.announce(member.number, Said::Terminating, self.plan.discovery.notice);
+        self.announce(member.number, ListedStatus::Terminating, self.plan.discovery.notice);
         let until = self.now() + DRAIN.max(self.plan.discovery.notice + 2_000.0);
         self.until(until).await;
         member.die(self.now());
-        self.announce(member.number, Said::Terminated, self.plan.discovery.notice);
+        self.announce(member.number, ListedStatus::Terminated, self.plan.discovery.notice);
     }
 
     /// A new server with a new id, at its own address or at that of one that has gone.
@@ -66,6 +66,6 @@
         self.members.push(member.clone());
         member.with(self.now(), |m| m.start(self.now()));
         self.fleet.serve(&member);
-        self.announce(number, Said::InService, self.plan.discovery.add);
+        self.announce(number, ListedStatus::InService, self.plan.discovery.add);
     }
 }
