--- a/crates/emulator/src/accounting.rs
+++ b/crates/emulator/src/accounting.rs
@@ -1,7 +1,7 @@
 //! Request accounting, and the oracles that read it: what was asked, tried, run and answered.
 //!
-//! Nothing here comes from a sidecar's counters. A rule that is broken becomes a [`Violation`] at the
-//! moment it shows; the rules are the platform's, with its figures and its slack.
+//! Nothing here comes from a sidecar's counters. A broken rule becomes a [`Violation`] at the time at which
+//! it is observed. The rules are the platform's, with its limits and tolerances.
 
 use crate::scenario::{Effect, Group};
 use crate::schedule::Schedule;
@@ -10,46 +10,46 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fmt;
 
-/// Violations that are kept in full; more are only counted.
+/// Violations that are kept in full; further ones are only counted.
 const KEPT: usize = 200;
 
 /// A rule of the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// Every flow taken gets one whole answer.
+    /// Every accepted request gets one whole response.
     Unanswered,
-    /// The answer comes before the client gives up.
+    /// The response arrives before the client's timeout.
     Late,
-    /// The sidecar ended the connection of a flow that it had taken.
+    /// The sidecar closed the connection of a request that it had accepted.
     Lost,
-    /// What is served was made by a server for this request.
+    /// A served body was produced by a server for this request.
     WrongBody,
-    /// What can't be a request is not served.
+    /// A malformed request is not served.
     ServedBad,
-    /// A bad client gets an error or a close within its time.
+    /// A malformed request gets an error or a close within the time limit.
     BadUnanswered,
     /// An unsafe request never runs twice, nor a keyed one where no server would drop the repeat.
     SecondRun,
-    /// Nothing new goes to a server past the grace of its drain.
+    /// No new attempt goes to a draining server after the drain's grace period.
     PastDrain,
-    /// No cold server is pushed over.
+    /// No cold server is overloaded until it fails.
     PushedOver,
-    /// Sidecars send only to servers that their list named.
+    /// Sidecars send only to servers that discovery has told them of.
     Unlisted,
-    /// A request is attempted at most so often.
+    /// The attempts of one request stay within their limit.
     Attempts,
-    /// A server is sent nothing that no client asked for.
+    /// Servers receive only requests that a client has sent.
     Unknown,
-    /// Descriptors stay within the limit.
+    /// A sidecar's open descriptors stay within their limit.
     Descriptors,
-    /// Memory stays within the limit.
+    /// A sidecar's memory stays within its limit.
     Memory,
     /// The sidecar's counters agree with the emulator's.
     Books,
-    /// A sidecar never ends by itself.
+    /// A sidecar's process never exits unless it is told to.
     Crash,
-    /// A sidecar becomes ready.
+    /// A sidecar becomes ready after its start.
     NotReady,
 }
 
@@ -66,11 +66,11 @@
     pub at: f64,
     /// Which.
     pub rule: Rule,
-    /// By which sidecar.
+    /// The sidecar that broke it, where it is known.
     pub sidecar: Option<usize>,
-    /// On which flow.
+    /// The request (the number of its arrival), where the rule is about one.
     pub flow: Option<usize>,
-    /// In words.
+    /// A description for people.
     pub what: String,
 }
 
@@ -176,7 +176,7 @@
     bodies: Vec<Bytes>,
 }
 
-/// The groups that a server belongs to.
+/// The zone and cell of a server, which decide where a repeat of keyed work is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Place {
     /// Its zone.
@@ -238,7 +238,8 @@
         }
     }
 
-    /// A try begins.
+    /// Records that a client sends a try at `sent`, to be given up at `until` (ms); returns its index in
+    /// [`RequestAccounting::tries`].
     pub fn begin(&mut self, id: u64, flow: usize, number: usize, sent: f64, until: f64) -> usize {
         let at = self.tries.len();
         self.tries.push(Try {
@@ -258,12 +259,12 @@
         at
     }
 
-    /// The try of an id.
+    /// The index of the try with a `Request-Id`.
     pub fn find(&self, id: u64) -> Option<usize> {
         self.by_id.get(&id).copied()
     }
 
-    /// A sidecar's list names a server as in service, or as leaving.
+    /// Records that discovery told a sidecar of a server, as in service or as leaving.
     pub fn list_said(&mut self, now: f64, sidecar: usize, server: usize, place: usize, in_service: bool) {
         self.listed.insert((sidecar, place));
         if in_service {
@@ -273,7 +274,7 @@
         }
     }
 
-    /// Discovery has it for whoever asks.
+    /// Records that discovery tells anybody who asks of a server, as in service or as leaving.
     pub fn list_has(&mut self, now: f64, server: usize, in_service: bool) {
         if in_service {
             self.leaving.remove(&server);
@@ -282,7 +283,8 @@
         }
     }
 
-    /// An attempt has come whole to a server. Its number in the try, or `None` where nobody asked for it.
+    /// Records an attempt that a server has received whole, its first byte at `came` (ms). Returns the
+    /// index of its try and its number in that; `None` where no client sent it, which is a violation.
     pub fn attempt(
         &mut self,
         schedule: &Schedule,
@@ -342,8 +344,8 @@
         Some((at, number))
     }
 
-    /// A server has taken an attempt in: from here on it may run. A repeat of keyed work does no harm where the
-    /// first run is known: in its group, and while that remembers.
+    /// Records that a server accepted an attempt, which may run from now on. A second run of unsafe work is a
+    /// violation; one of keyed work is harmless inside the first run's group and within its time window.
     pub fn ran(&mut self, schedule: &Schedule, now: f64, (at, number): (usize, usize), place: Place) {
         let one = &mut self.tries[at];
         one.attempts[number].ran = true;
@@ -368,7 +370,7 @@
         }
     }
 
-    /// An attempt ends at its server.
+    /// Records how an attempt ended at its server; only the first end counts.
     pub fn attempt_ended(&mut self, now: f64, (at, number): (usize, usize), end: AttemptEnd) {
         let one = &mut self.tries[at].attempts[number];
         if one.end == AttemptEnd::Open {
@@ -376,23 +378,23 @@
         }
     }
 
-    /// A server has made a body for a try.
+    /// Records a body that a server produced for a try.
     pub fn made(&mut self, at: usize, body: Bytes) {
         self.tries[at].bodies.push(body);
     }
 
-    /// Whether a body was made for a try.
+    /// Whether a server produced this body for a try.
     pub fn is_made(&self, at: usize, body: &[u8]) -> bool {
         self.tries[at].bodies.iter().any(|b| b == body)
     }
 
-    /// A try ends at its client.
+    /// Records how a try ended at its client.
     pub fn end(&mut self, now: f64, at: usize, end: TryEnd, regret: Option<Regret>) {
         let one = &mut self.tries[at];
         (one.ended, one.end, one.regret) = (now, end, regret);
     }
 
-    /// A sidecar holds so many descriptors.
+    /// Records the open descriptors of a sidecar; the first excess over the limit is a violation.
     pub fn holds(&mut self, now: f64, sidecar: usize, descriptors: usize, limit: usize) {
         let most = self.descriptors.entry(sidecar).or_default();
         let before = *most;
--- a/crates/emulator/src/applications.rs
+++ b/crates/emulator/src/applications.rs
@@ -1,4 +1,4 @@
-//! The applications beside the sidecars: whether each asks, and how often its sidecar was started and killed.
+//! The life cycle of the applications and of the sidecars beside them, as the clients need it.
 
 use std::cell::RefCell;
 
@@ -15,12 +15,12 @@
     starts: u64,
 }
 
-/// All applications, by the number of their sidecar.
+/// The state of every application, by the number of its sidecar.
 #[derive(Debug)]
 pub struct Applications(RefCell<Vec<State>>);
 
 impl Applications {
-    /// So many, whose sidecars have not started.
+    /// Creates so many applications whose sidecars have not started yet.
     pub fn new(count: usize) -> Applications {
         Applications(RefCell::new(vec![State::default(); count]))
     }
@@ -33,7 +33,7 @@
         change(&mut self.0.borrow_mut()[sidecar]);
     }
 
-    /// Whether an application asks.
+    /// Whether an application sends requests.
     pub fn asks(&self, sidecar: usize) -> bool {
         self.state(sidecar).asks
     }
@@ -53,32 +53,33 @@
         self.state(sidecar).starts
     }
 
-    /// Whether what a sidecar had in hand since it had ended so often is nobody's fault: it was killed.
+    /// Whether a request in flight since the sidecar had been killed so often may fail: it was killed or
+    /// stopped meanwhile.
     pub fn excused(&self, sidecar: usize, kills: u64) -> bool {
         self.kills(sidecar) != kills || !self.asks(sidecar)
     }
 
-    /// A sidecar's process was started.
+    /// Records the start of a sidecar's process.
     pub fn started(&self, sidecar: usize) {
         self.change(sidecar, |s| (s.meant, s.starts) = (true, s.starts + 1));
     }
 
-    /// A sidecar is ready: its application asks, unless the process is meant to end.
+    /// Records that a sidecar is ready: its application sends requests, unless the process is being stopped.
     pub fn ready(&self, sidecar: usize) {
         self.change(sidecar, |s| s.asks = s.meant);
     }
 
-    /// A sidecar's process may end from here on.
+    /// Records that a sidecar's process is told to exit, so that its exit is no crash.
     pub fn may_end(&self, sidecar: usize) {
         self.change(sidecar, |s| s.meant = false);
     }
 
-    /// An application asks no more.
+    /// Records that an application sends no more requests.
     pub fn stop(&self, sidecar: usize) {
         self.change(sidecar, |s| s.asks = false);
     }
 
-    /// A sidecar has ended without being asked to, and its application with it.
+    /// Records that a sidecar was killed or crashed, and its application with it.
     pub fn killed(&self, sidecar: usize) {
         self.change(sidecar, |s| {
             (s.asks, s.meant) = (false, false);
--- a/crates/emulator/src/client/exchange.rs
+++ b/crates/emulator/src/client/exchange.rs
@@ -1,4 +1,4 @@
-//! One request to a sidecar: what is written, what comes back, and how it is judged.
+//! One HTTP exchange with a sidecar: writes the request, reads the response and checks it.
 
 use super::Clients;
 use crate::accounting::{Regret, Rule, TryEnd};
@@ -8,24 +8,24 @@
 use crate::scenario::Effect;
 use crate::schedule::Schedule;
 
-/// The body of a request that may change something.
+/// The body of requests that are not safe to repeat.
 const BODY: &str = "{\"design\":\"W-1200x900\",\"profile\":\"A\"}";
 
-/// A request to a sidecar, with the try in the ledger that it is.
+/// The HTTP exchange of one try.
 pub(super) struct Exchange<'a, F: Fabric> {
     clients: &'a Clients<F>,
     flow: usize,
     sidecar: usize,
     /// Its `Request-Id`.
     id: u64,
-    /// The try's place in the ledger.
+    /// The index of its try in the accounting.
     at: usize,
     /// When its client gives it up (ms).
     until: f64,
 }
 
 impl<'a, F: Fabric> Exchange<'a, F> {
-    /// The request of a try.
+    /// Creates the exchange of a try that is given up at `until` (ms).
     pub(super) fn new(clients: &'a Clients<F>, flow: usize, id: u64, at: usize, until: f64) -> Self {
         let sidecar = clients.environment.schedule.arrivals[flow].sidecar;
         Exchange { clients, flow, sidecar, id, at, until }
@@ -47,7 +47,7 @@
         self.environment().accounting.borrow_mut().tries[self.at].taken = taken;
     }
 
-    /// Writes the request, waits for its answer, and judges what came.
+    /// Sends the request and waits for the response; returns how the try ended.
     pub(super) async fn run(&self) -> (TryEnd, Option<Regret>) {
         let (schedule, clock) = (&self.environment().schedule, &self.environment().clock);
         let (kills, sent) = (self.clients.applications.kills(self.sidecar), clock.now());
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The request as it is written; its client waits so long for it (ms).
+    /// The text of the request; its client waits `patience` (ms) for the response.
     fn text(&self, schedule: &Schedule, patience: f64) -> String {
         let arrival = &schedule.arrivals[self.flow];
         let class = schedule.class(arrival);
@@ -89,7 +89,7 @@
         )
     }
 
-    /// Writes a request on a connection that is free, or on a new one, and reads the answer.
+    /// Writes a request on an idle connection, or on a new one, and reads the response.
     async fn exchange(&self, text: &[u8]) -> Result<Answer, Unread> {
         loop {
             let kept = self.clients.connections.take(self.sidecar);
@@ -109,26 +109,26 @@
             self.set_taken(true);
             match wire.answer().await {
                 Ok(answer) => {
-                    // As long as the application runs, it keeps a connection for the next request.
+                    // A stopped application keeps no connections.
                     if !answer.closes() && self.clients.applications.asks(self.sidecar) {
                         self.clients.connections.keep(self.sidecar, wire);
                     }
                     return Ok(answer);
                 }
-                // A close between requests crossed this one: it is sent once more, on a new connection.
+                // The sidecar closed the idle connection while the request was on its way: send it again.
                 Err(Unread::Closed) if reused => self.set_taken(false),
                 Err(why) => return Err(why),
             }
         }
     }
 
-    /// Nothing came that could be served, which breaks a rule.
+    /// Records a violation where no response was received.
     fn nothing(&self, rule: Rule, what: String) -> (TryEnd, Option<Regret>) {
         self.record_violation(rule, what);
         (TryEnd::Nothing, None)
     }
 
-    /// What an answer is worth, and whether it may be at all.
+    /// Classifies a response, and records a violation where it came too late.
     fn judge(&self, answer: &Answer) -> (TryEnd, Option<Regret>) {
         let now = self.environment().clock.now();
         if now > self.until + self.environment().schedule.day.clients.slack_ms {
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Served, if a server has made the body for this request.
+    /// Checks that a server produced this body for this request.
     fn judge_body(&self, body: &[u8]) -> TryEnd {
         let made = self.environment().accounting.borrow().is_made(self.at, body);
         if made {
@@ -153,7 +153,7 @@
     }
 }
 
-/// The wait that a refusal advises (ms); 0 for none.
+/// The `Retry-After` of a rejection (ms); 0 where there is none.
 fn advice(answer: &Answer) -> f64 {
     let seconds = answer.header("retry-after").and_then(|v| v.trim().parse::<f64>().ok());
     seconds.unwrap_or(0.0) * 1e3
--- a/crates/emulator/src/client/mod.rs
+++ b/crates/emulator/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! Clients: the applications beside the sidecars, open-loop, with retries, and the oracles on answers.
+//! Clients: open-loop load from the applications beside the sidecars, with retries and oracles on responses.
 
 mod connections;
 mod exchange;
@@ -17,12 +17,12 @@
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
-/// How long after a retry's end there must be time for another (ms).
+/// Time that must be left before the deadline for another try (ms).
 const LEAST: f64 = 20.0;
-/// Tasks of flows that may have ended before they are looked through.
+/// Number of request tasks above which finished ones are removed from the list.
 const OPEN_TASKS: usize = 4096;
 
-/// The clients of a scenario.
+/// The clients of a scenario, with their idle connections.
 pub struct Clients<F: Fabric> {
     environment: Rc<Environment<F>>,
     applications: Rc<Applications>,
@@ -32,7 +32,7 @@
 }
 
 impl<F: Fabric> Clients<F> {
-    /// Clients beside these applications; `members` tells what a refusal is to be regretted for.
+    /// Creates the clients; `members` is used to tell whether a server could have served a rejected request.
     pub fn new(
         environment: Rc<Environment<F>>,
         applications: Rc<Applications>,
@@ -43,23 +43,23 @@
         Rc::new(Clients { environment, applications, members, connections, unasked: RefCell::default() })
     }
 
-    /// Flows that were never asked for, as their application was down.
+    /// Arrivals that were never sent, as their application was down.
     pub fn unasked(&self) -> Ref<'_, BTreeSet<usize>> {
         self.unasked.borrow()
     }
 
-    /// Closes the connections to a sidecar that are free.
+    /// Closes the idle connections to a sidecar.
     pub fn close(&self, sidecar: usize) {
         self.connections.close(sidecar);
     }
 
-    /// Asks for all that the scenario holds, at its time; returns when the last has its end.
+    /// Sends every scheduled request at its time; returns when the last one has ended.
     pub async fn ask(self: Rc<Self>) {
         let mut open = Vec::new();
         let clock = &self.environment.clock;
         for (flow, arrival) in self.environment.schedule.arrivals.iter().enumerate() {
             clock.until(clock.day_at(arrival.at)).await;
-            // The application dies with its sidecar: what it would have asked for is not asked for.
+            // The application stops with its sidecar and sends nothing while it is down.
             if !self.applications.asks(arrival.sidecar) {
                 self.unasked.borrow_mut().insert(flow);
                 continue;
@@ -74,7 +74,7 @@
         }
     }
 
-    /// One flow with all its tries.
+    /// One request with all its tries.
     async fn follow(self: Rc<Self>, flow: usize) {
         let (schedule, clock) = (&self.environment.schedule, &self.environment.clock);
         let arrival = &schedule.arrivals[flow];
@@ -101,7 +101,7 @@
         }
     }
 
-    /// One try, for at most this long (ms): waits for a place, then asks.
+    /// One try within this time (ms): waits for a connection permit, then sends the request.
     async fn attempt(&self, flow: usize, number: usize, patience: f64) -> TryEnd {
         let (schedule, clock) = (&self.environment.schedule, &self.environment.clock);
         let sidecar = schedule.arrivals[flow].sidecar;
@@ -120,7 +120,7 @@
         end
     }
 
-    /// What is known of a request that is being refused at this moment.
+    /// Whether a server could serve in time a request that is rejected now.
     fn regret(&self, flow: usize) -> Regret {
         let (schedule, clock) = (&self.environment.schedule, &self.environment.clock);
         let (now, arrival) = (clock.now(), &schedule.arrivals[flow]);
@@ -129,12 +129,12 @@
     }
 }
 
-/// Whether a client tries again after such an end.
+/// Whether a client retries after a try that ended so.
 fn may_retry(end: TryEnd, effect: Effect) -> bool {
     match end {
         TryEnd::Served | TryEnd::Excused | TryEnd::Open => false,
         TryEnd::Refused(_) | TryEnd::NoConnection => true,
-        // It may have run.
+        // It may have run at a server.
         TryEnd::Failed(_) | TryEnd::Nothing => effect == Effect::Safe,
     }
 }
--- a/crates/emulator/src/clock.rs
+++ b/crates/emulator/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of a simulation: milliseconds since it began, on the runtime's time.
+//! The clock of a simulation: milliseconds since its start, on the runtime's clock, which may be paused.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -28,12 +28,12 @@
         self.epoch + self.now()
     }
 
-    /// A time as the runtime counts it; a hair later, so that it has come when it is waited for.
+    /// Converts a time to the runtime's clock, rounded up by 10 ns so that the time has passed after a wait.
     pub fn instant(&self, at: f64) -> Instant {
         self.origin + Duration::from_secs_f64(at.clamp(0.0, 1e10) / 1e3 + 1e-8)
     }
 
-    /// Waits until a time; for ever where it is infinite.
+    /// Waits until a time; never returns where it is infinite.
     pub async fn until(&self, at: f64) {
         if at.is_infinite() {
             return std::future::pending().await;
@@ -41,12 +41,12 @@
         tokio::time::sleep_until(self.instant(at)).await;
     }
 
-    /// Waits for so long.
+    /// Waits for a duration.
     pub async fn sleep(&self, millis: f64) {
         self.until(self.now() + millis).await;
     }
 
-    /// Lets the scenario begin at this time.
+    /// Sets the time at which the scenario begins.
     pub fn begin_day(&self, at: f64) {
         self.day_start.set(at);
     }
@@ -56,7 +56,7 @@
         self.day_start.get()
     }
 
-    /// A time of the scenario as the simulation's.
+    /// Converts a time since the scenario's begin to a time since the simulation's start.
     pub fn day_at(&self, at: f64) -> f64 {
         self.day_start.get() + at
     }
--- a/crates/emulator/src/corruption.rs
+++ b/crates/emulator/src/corruption.rs
@@ -1,8 +1,8 @@
-//! Corrupted responses: answers that can't be read, or bring more than belongs to them.
+//! Corrupted responses of servers: malformed ones, and valid ones with extra bytes around them.
 
 use crate::http::answer_bytes;
 
-/// What is made of an answer.
+/// A kind of corruption. The names are keys of `result.json`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Corruption {
     /// Noise.
@@ -25,7 +25,7 @@
     Informed,
 }
 
-/// All of them.
+/// All kinds, in the order in which they are drawn.
 pub const ALL: [Corruption; 9] = [
     Corruption::Noise,
     Corruption::EndlessHead,
@@ -39,7 +39,7 @@
 ];
 
 impl Corruption {
-    /// Whether what is left is a good answer.
+    /// Whether a client can still read a valid response from the bytes.
     pub fn is_valid(self) -> bool {
         matches!(
             self,
@@ -47,7 +47,7 @@
         )
     }
 
-    /// The bytes in place of a good answer with this body.
+    /// The bytes to send instead of a response with this body.
     pub fn bytes(self, body: &[u8]) -> Vec<u8> {
         let good = answer_bytes(200, &[], body);
         match self {
--- a/crates/emulator/src/environment.rs
+++ b/crates/emulator/src/environment.rs
@@ -1,4 +1,5 @@
-//! What all parties of a simulation share: the network, the schedule, the addresses, the clock and the request accounting.
+//! What all parties of a simulation share: the network, the schedule, the addresses, the clock and the
+//! request accounting.
 
 use crate::accounting::{RequestAccounting, Rule};
 use crate::addresses::Addresses;
@@ -8,10 +9,10 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The surroundings of clients, servers and discovery.
+/// The shared state that clients, servers and discovery are given.
 #[derive(Debug)]
 pub struct Environment<F: Fabric> {
-    /// What streams are made of.
+    /// The network.
     pub fabric: F,
     /// The schedule of the scenario, as drawn by its seed.
     pub schedule: Rc<Schedule>,
@@ -19,23 +20,23 @@
     pub addresses: Addresses,
     /// The clock.
     pub clock: Clock,
-    /// What was asked, tried, run and answered.
+    /// The request accounting.
     pub accounting: Rc<RefCell<RequestAccounting>>,
 }
 
 impl<F: Fabric> Environment<F> {
-    /// An environment at its beginning; `epoch` is the Unix time (ms) that its clock shows then.
+    /// Creates an environment; `epoch` is the Unix time (ms) that its clock shows then.
     pub fn new(fabric: F, schedule: Schedule, addresses: Addresses, epoch: f64) -> Environment<F> {
         let (schedule, clock) = (Rc::new(schedule), Clock::new(epoch));
         Environment { fabric, schedule, addresses, clock, accounting: Rc::default() }
     }
 
-    /// Opens a stream to a sidecar, as its application does.
+    /// Opens a stream to a sidecar, as its application does; the error is the network's.
     pub async fn connect(&self, sidecar: usize) -> std::io::Result<F::Stream> {
         self.fabric.connect(self.addresses.listen(sidecar)).await
     }
 
-    /// Records a rule that a sidecar breaks now, on a flow where there is one.
+    /// Records that a sidecar breaks a rule now, on this request (the number of its arrival) if any.
     pub fn record_violation(&self, rule: Rule, sidecar: usize, flow: Option<usize>, what: String) {
         self.accounting.borrow_mut().record_violation(self.clock.now(), rule, Some(sidecar), flow, what);
     }
--- a/crates/emulator/src/fabric.rs
+++ b/crates/emulator/src/fabric.rs
@@ -1,4 +1,4 @@
-//! What streams are made of: sockets on the loopback network, or pipes in memory.
+//! The network abstraction: sockets on the loopback network, or pipes in memory ([`crate::memory`]).
 
 use std::future::Future;
 use std::io;
@@ -6,24 +6,24 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// Where the emulator's streams come from.
+/// A network on which the parties of a simulation listen and connect.
 pub trait Fabric: Clone + 'static {
     /// A stream.
     type Stream: AsyncRead + AsyncWrite + Unpin + 'static;
-    /// A place where others connect.
+    /// A listener; dropping it closes it.
     type Listener: 'static;
-    /// Keeps connects to a place from coming up, as long as it lives.
+    /// Keeps connects to an address hanging until it is dropped.
     type Mute: 'static;
 
-    /// Begins to listen.
+    /// Listens at an address; the error is `AddrInUse` where somebody does.
     fn bind(&self, address: SocketAddr) -> impl Future<Output = io::Result<Self::Listener>>;
-    /// Waits for the next stream.
+    /// Waits for the next stream of a listener.
     fn accept(&self, listener: &Self::Listener) -> impl Future<Output = io::Result<Self::Stream>>;
-    /// Opens a stream.
+    /// Opens a stream to an address.
     fn connect(&self, address: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>>;
-    /// Ends a stream by a reset.
+    /// Resets a stream.
     fn reset(&self, stream: Self::Stream);
-    /// Lets connects to a place, which must have no listener, hang in place of being refused.
+    /// Makes connects to an address without a listener hang instead of being refused.
     fn mute(&self, address: SocketAddr) -> impl Future<Output = io::Result<Self::Mute>>;
 }
 
@@ -64,7 +64,7 @@
         let _ = stream.set_zero_linger();
     }
 
-    /// A listener whose queue is full answers no SYN: connects hang, as to a machine cut off.
+    /// Fills the backlog of a listener, which answers no further SYN: connects hang as in a partition.
     async fn mute(&self, address: SocketAddr) -> io::Result<Self::Mute> {
         let listener = socket(address, 0)?;
         let mut fillers = Vec::new();
--- a/crates/emulator/src/fleet/connection.rs
+++ b/crates/emulator/src/fleet/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a sidecar to a server: its place in the server's table, and its requests in turn.
+//! One connection of a sidecar to a server: its slot in the server's table, and its requests in order.
 
 use super::requests::IncomingAttempt;
 use super::{Fleet, Member, Reachability};
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// One place in a server's table of connections.
+/// One slot in a server's connection table, held by the start of the process that it belongs to.
 struct ConnectionSlot(Rc<Member>, Option<f64>);
 
 impl Drop for ConnectionSlot {
@@ -26,12 +26,12 @@
     pub(super) fleet: Rc<Fleet<F>>,
     pub(super) member: Rc<Member>,
     pub(super) sidecar: usize,
-    /// Whether it is one more than the server accepts.
+    /// Whether it exceeds the server's connection table.
     pub(super) crowded: bool,
 }
 
 impl<F: Fabric> Connection<F> {
-    /// Serves a stream until it ends, or until the server's fate ends it.
+    /// Serves a stream until it ends or the server's process does.
     pub(super) async fn serve(fleet: Rc<Fleet<F>>, member: Rc<Member>, sidecar: usize, stream: F::Stream) {
         let mut reachability = member.reachability.subscribe();
         let (crowded, started) = member.with(fleet.environment.clock.now(), |m| {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Whether something comes before the connection has been idle for too long.
+    /// Waits for the next bytes; false where the connection ended or reached its idle timeout.
     async fn comes(&self, wire: &mut Wire<F::Stream>) -> bool {
         if wire.ahead() {
             return true;
@@ -101,7 +101,7 @@
     }
 }
 
-/// Reads a request; what can't be one is answered so, and ends the connection.
+/// Reads a request; a malformed one is answered with 400. `None` ends the connection.
 async fn read<S>(wire: &mut Wire<S>) -> Option<Request>
 where
     S: tokio::io::AsyncRead + tokio::io::AsyncWrite + Unpin,
--- a/crates/emulator/src/fleet/member.rs
+++ b/crates/emulator/src/fleet/member.rs
@@ -1,4 +1,4 @@
-//! A server with what others need of it: its model, its reachability, and who waits for its work.
+//! A server of the fleet: its model, its reachability, and the requests that wait for its work.
 
 use crate::schedule::hashed;
 use crate::server::{Done, Job, Phase, Server, TurnedAway};
@@ -7,26 +7,26 @@
 use std::rc::Rc;
 use tokio::sync::{oneshot, watch, Notify};
 
-/// What the network makes of a server's process.
+/// Whether a server's process can be reached over the network.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reachability {
-    /// It can be reached; the number counts its starts.
+    /// Reachable; the number identifies the start of its process.
     Up(u64),
-    /// It is gone: connections are reset, new ones refused.
+    /// Down: connections are reset and new ones refused.
     Down,
-    /// It is cut off: connections are silent, new ones never come up.
+    /// Partitioned: connections are silent and new ones hang.
     Cut,
 }
 
-/// A server with what others need of it.
+/// A server of the fleet.
 pub struct Member {
     /// Its number.
     pub number: usize,
-    /// The number of its address; one that replaces another may have that one's.
+    /// The number of its address, which a replacement may take over.
     pub place: usize,
     /// The model.
     pub model: RefCell<Server>,
-    /// What the network makes of it.
+    /// Its reachability.
     pub reachability: watch::Sender<Reachability>,
     pub(super) wake: Notify,
     waiting: RefCell<BTreeMap<u64, oneshot::Sender<Done>>>,
@@ -34,7 +34,7 @@
 }
 
 impl Member {
-    /// A member from its model.
+    /// Creates a reachable member from its model.
     pub fn new(number: usize, place: usize, model: Server) -> Rc<Member> {
         Rc::new(Member {
             number,
@@ -47,26 +47,26 @@
         })
     }
 
-    /// Lets the model work until now, and tells who waits for what has ended.
+    /// Advances the model to `now` (ms) and completes the jobs that have ended.
     pub fn touch(&self, now: f64) {
         let mut done = Vec::new();
         self.model.borrow_mut().advance(now, &mut done);
         for one in done {
             if let Some(waits) = self.waiting.borrow_mut().remove(&one.id) {
-                // Who waited may have gone; the work was done all the same.
+                // The receiver may be gone; the work was done all the same.
                 let _ = waits.send(one);
             }
         }
     }
 
-    /// What it says of its load, as probes and answers bring it.
+    /// Its load report in the form of probes and response headers.
     pub(super) fn report(&self, now: f64, seed: u64) -> String {
         let draw = hashed(seed, &[11, self.number as u64, now as u64]);
         let report = self.with(now, |m| m.report(draw));
         format!("TEXT inflight={}, queue={}, util={:.2}", report.inflight, report.queue, report.util)
     }
 
-    /// Touches the model and changes it.
+    /// Advances the model to `now` (ms) and changes it.
     pub fn with<T>(&self, now: f64, change: impl FnOnce(&mut Server) -> T) -> T {
         self.touch(now);
         let result = change(&mut self.model.borrow_mut());
@@ -74,7 +74,8 @@
         result
     }
 
-    /// Gives it a job, which the function makes of its number; what is returned waits for its end.
+    /// Offers a job, built from its number, to the model; the receiver gets its completion and fails where
+    /// the process ends before. The error says why the model did not accept it.
     pub(super) fn begin(
         &self,
         now: f64,
@@ -88,20 +89,20 @@
         Ok((id, receiver))
     }
 
-    /// Its process ends at once: what it held is lost, its connections are reset.
+    /// Stops the process at once: its jobs are lost and its connections reset.
     pub fn die(&self, now: f64) {
         self.with(now, |m| m.stop());
         self.waiting.borrow_mut().clear();
         self.reachability.send_replace(Reachability::Down);
     }
 
-    /// Its process starts anew, cold.
+    /// Starts a new, cold process; `start` identifies it.
     pub fn start(&self, now: f64, start: u64) {
         self.with(now, |m| m.start(now));
         self.reachability.send_replace(Reachability::Up(start));
     }
 
-    /// Whether it takes work and can be reached.
+    /// Whether it accepts work and can be reached.
     pub fn in_service(&self) -> bool {
         matches!(*self.reachability.borrow(), Reachability::Up(_)) && self.model.borrow().phase == Phase::Up
     }
--- a/crates/emulator/src/fleet/members.rs
+++ b/crates/emulator/src/fleet/members.rs
@@ -1,16 +1,16 @@
-//! All servers that there have been, by their number.
+//! All servers of a simulation by their number, including those that have gone.
 
 use super::Member;
 use crate::accounting::Regret;
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The servers; one that has gone keeps its number.
+/// The servers of a simulation; one that has gone keeps its number.
 #[derive(Default)]
 pub struct Members(RefCell<Vec<Rc<Member>>>);
 
 impl Members {
-    /// These servers, whose numbers are their places here.
+    /// Creates the list; each server's number is its index.
     pub fn new(members: Vec<Rc<Member>>) -> Members {
         Members(RefCell::new(members))
     }
@@ -20,23 +20,23 @@
         self.0.borrow()[number].clone()
     }
 
-    /// All servers there have been.
+    /// All servers, in the order of their numbers.
     pub fn all(&self) -> Vec<Rc<Member>> {
         self.0.borrow().clone()
     }
 
-    /// How many there have been: the number of the next.
+    /// How many there are, which is the number of the next one.
     pub fn count(&self) -> usize {
         self.0.borrow().len()
     }
 
-    /// One more, whose number is the count before.
+    /// Adds a server, whose number must be the count before.
     pub fn push(&self, member: Rc<Member>) {
         self.0.borrow_mut().push(member);
     }
 
-    /// What is known of a request of this work (ms of a standard core) that is refused now, with so much time
-    /// left (ms).
+    /// Whether a server could have served a request that is rejected now: its work is in ms of a standard
+    /// core, and `left` is the time left for it (ms).
     pub fn regret(&self, now: f64, work: f64, left: f64) -> Regret {
         let (mut best, mut regret) = (f64::INFINITY, Regret::Nobody);
         for member in self.0.borrow().iter().filter(|m| m.in_service()) {
--- a/crates/emulator/src/fleet/mod.rs
+++ b/crates/emulator/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Config servers on streams: the model of [`crate::server`] behind HTTP/1.1.
+//! The HTTP/1.1 side of the config servers: listeners and connections around the models of [`crate::server`].
 
 mod connection;
 mod member;
@@ -20,17 +20,17 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// How long a bind waits where the one before at its address is not quite gone.
+/// Interval of attempts to bind an address that is still in use.
 const BIND_AGAIN: Duration = Duration::from_millis(20);
 
-/// The servers' side of all streams.
+/// The listeners of all servers, with the network delays to them.
 pub struct Fleet<F: Fabric> {
     environment: Rc<Environment<F>>,
     draws: Cell<u64>,
 }
 
 impl<F: Fabric> Fleet<F> {
-    /// A fleet that serves nobody yet.
+    /// Creates a fleet without listeners.
     pub fn new(environment: Rc<Environment<F>>) -> Rc<Fleet<F>> {
         Rc::new(Fleet { environment, draws: Cell::new(0) })
     }
@@ -41,7 +41,7 @@
         self.draws.get()
     }
 
-    /// One way between a sidecar and a server, this time (ms).
+    /// Draws a one-way network delay between a sidecar and a server (ms).
     fn one_way(&self, sidecar: usize, member: &Member) -> f64 {
         let schedule = &self.environment.schedule;
         let (same, cross, jitter) = schedule.network;
@@ -50,14 +50,14 @@
         (if near { same } else { cross }) * factor(jitter, draw)
     }
 
-    /// Share of the answers that is corrupted now.
+    /// The share of the responses that is corrupted at this time.
     fn corrupted_share(&self) -> f64 {
         let clock = &self.environment.clock;
         let active = self.environment.schedule.active(FaultKind::Garble, clock.now() - clock.day_start());
         active.map(|t| t.part).sum()
     }
 
-    /// Lets a server work, and listen for every sidecar.
+    /// Starts the tasks of a server: its model, and one listener for each sidecar.
     pub fn serve(self: &Rc<Self>, member: &Rc<Member>) {
         spawn_local(self.clone().keep_going(member.clone()));
         for sidecar in 0..self.environment.schedule.sidecars.len() {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Keeps a server's model going.
+    /// Advances a server's model whenever something is due in it.
     async fn keep_going(self: Rc<Self>, member: Rc<Member>) {
         let clock = &self.environment.clock;
         loop {
--- a/crates/emulator/src/fleet/probes.rs
+++ b/crates/emulator/src/fleet/probes.rs
@@ -1,4 +1,4 @@
-//! Probes: what a server answers when it is asked for its load or its health.
+//! Load and health probes of a server.
 
 use super::connection::Connection;
 use crate::fabric::Fabric;
@@ -24,7 +24,7 @@
         wire.write(&answer).await.is_ok()
     }
 
-    /// Does the work of a probe; whether there were too many at a time.
+    /// Does the work of a probe; true where the limit of concurrent probes is exceeded.
     async fn work_on_probe(&self) -> bool {
         let (clock, member) = (&self.environment().clock, &self.member);
         let (work, most, deep) = member.model.borrow().plan.probe;
--- a/crates/emulator/src/fleet/requests.rs
+++ b/crates/emulator/src/fleet/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: what a server makes of an attempt, from its first byte to its answer.
+//! The handling of an attempt at a server, from its first byte to its response.
 
 use super::connection::Connection;
 use super::Member;
@@ -13,7 +13,7 @@
 use std::cell::RefMut;
 use tokio::sync::oneshot;
 
-/// Ends an attempt as cut where its connection's task is dropped: by a death or a cut.
+/// Records an attempt as cut where its connection is dropped before it has ended.
 struct Open<'a, F: Fabric> {
     environment: &'a Environment<F>,
     attempt: (usize, usize),
@@ -26,7 +26,7 @@
     }
 }
 
-/// A request at a server, with how it came there.
+/// A request that a server has received.
 pub(super) struct IncomingAttempt<'a, F: Fabric> {
     pub(super) connection: &'a Connection<F>,
     pub(super) request: &'a Request,
@@ -36,12 +36,12 @@
     pub(super) way: f64,
 }
 
-/// The attempt that a request is.
+/// The identity of an attempt.
 #[derive(Clone, Copy)]
 struct AttemptKey {
     /// Its `Request-Id`.
     id: u64,
-    /// Its try, and its number in that.
+    /// The index of its try, and its number in that.
     attempt: (usize, usize),
     flow: usize,
 }
@@ -59,7 +59,7 @@
         &self.connection.member
     }
 
-    /// Answers the request; false where the connection ends.
+    /// Handles the request; false where the connection ends.
     pub(super) async fn answer(&self, wire: &mut Wire<F::Stream>) -> bool {
         let (environment, clock) = (self.environment(), &self.environment().clock);
         let id = self.request.header("request-id").and_then(|id| u64::from_str_radix(id, 16).ok());
@@ -116,7 +116,7 @@
         hashed(self.environment().schedule.seed, &[purpose, known.id, known.attempt.1 as u64])
     }
 
-    /// Whether the request of a keyed class came without the key that its client sent, which breaks a rule.
+    /// Whether a request of a keyed class came without its client's `Idempotency-Key`, which is a violation.
     fn lacks_key(&self, known: AttemptKey) -> bool {
         let key = self.environment().schedule.key_of(known.flow);
         let lacks = key.is_some() && self.request.header("idempotency-key") != key.as_deref();
@@ -127,7 +127,7 @@
         lacks
     }
 
-    /// The work of this attempt (ms of a standard core), which is counted as sent.
+    /// Draws the work of this attempt (ms of a standard core) and records it as sent.
     fn work(&self, known: AttemptKey) -> f64 {
         let (schedule, arrival) = (&self.environment().schedule, self.arrival(known));
         let noise = schedule.day.classes[arrival.class].attempt_noise;
@@ -141,7 +141,7 @@
         work
     }
 
-    /// Whether this work is too much for a cold server, which goes down with it.
+    /// Whether this work overloads a cold server, whose process then fails.
     fn pushes_over(&self, known: AttemptKey, work: f64, now: f64) -> bool {
         let limits = &self.environment().schedule.day.limits;
         let pushed = self.member().with(now, |m| m.push(work, limits.fall_multiple, limits.fall_ms));
@@ -154,7 +154,7 @@
         pushed
     }
 
-    /// Gives the model its job; the error says how the attempt ends where the server turns it away.
+    /// Offers the job to the model; the error says how a rejected attempt ends.
     fn begin(
         &self,
         known: AttemptKey,
@@ -179,7 +179,7 @@
         Ok(begun)
     }
 
-    /// Says that the request was not started; false where the connection ends.
+    /// Responds that the request was not started; false where the connection ends.
     async fn turn_away(
         &self,
         wire: &mut Wire<F::Stream>,
@@ -196,7 +196,7 @@
         wire.write(&answer_bytes(503, &headers, b"")).await.is_ok() && !self.connection.crowded
     }
 
-    /// Waits until the job has ended; `None` where its sidecar hung up or its server went down before.
+    /// Waits for the completion of the job; `None` where the sidecar hung up or the server stopped before.
     async fn wait(
         &self,
         wire: &mut Wire<F::Stream>,
@@ -226,7 +226,7 @@
         accounting.work.1 += if dropped { 0.0 } else { work };
     }
 
-    /// The answer to a job that has ended: good, an error, or corrupted.
+    /// The bytes of the response to a completed job: valid, an error, or corrupted.
     fn answer_to(&self, known: AttemptKey, done: Done) -> Vec<u8> {
         let now = self.environment().clock.now();
         if done.error {
@@ -249,7 +249,7 @@
         ))
     }
 
-    /// How the answer is corrupted, if it is.
+    /// The corruption of this response, if it is to be corrupted.
     fn corruption(&self, known: AttemptKey) -> Option<Corruption> {
         let kinds = corruption::ALL;
         let kind = (self.draw(known, 8) * kinds.len() as f64) as usize % kinds.len();
--- a/crates/emulator/src/http.rs
+++ b/crates/emulator/src/http.rs
@@ -1,23 +1,23 @@
-//! As much HTTP/1.1 (RFC 9112) as the emulator's parties speak, with every byte in their own hands: they
-//! must be able to send what is wrong, and to see where an answer stops.
+//! The subset of HTTP/1.1 (RFC 9112) that the emulator needs, with control of every byte: it must be able to
+//! send malformed messages and to see where a response ends.
 
 use bytes::{Bytes, BytesMut};
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// Longest head read.
+/// Longest message head that is read (bytes).
 const HEAD: usize = 64 * 1024;
-/// Most headers read.
+/// Most headers of a message that are read.
 const HEADERS: usize = 64;
 
-/// Why nothing could be read.
+/// Why no message could be read.
 #[derive(Debug)]
 pub enum Unread {
     /// The stream ended before a byte came.
     Closed,
-    /// It ended or broke inside of a message.
+    /// The stream ended or failed inside a message.
     Broken,
-    /// What came is no HTTP.
+    /// The bytes are no HTTP that the emulator reads.
     Garbled(String),
 }
 
@@ -40,7 +40,7 @@
     pub body: Bytes,
 }
 
-/// An answer.
+/// A response.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
     /// The status.
@@ -68,13 +68,13 @@
         find(&self.headers, name)
     }
 
-    /// Whether its connection ends behind it.
+    /// Whether its connection closes after it.
     pub fn closes(&self) -> bool {
         self.header("connection").is_some_and(|v| v.eq_ignore_ascii_case("close"))
     }
 }
 
-/// A stream with what was read ahead on it.
+/// A stream with a read buffer.
 #[derive(Debug)]
 pub struct Wire<S> {
     /// The stream.
@@ -95,23 +95,23 @@
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> Wire<S> {
-    /// A wire on a fresh stream.
+    /// Creates a wire with an empty buffer.
     pub fn new(stream: S) -> Wire<S> {
         Wire { stream, buffer: BytesMut::new() }
     }
 
-    /// Whether something was read ahead.
+    /// Whether bytes are buffered.
     pub fn ahead(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Waits for more; false at the end of the stream. Nothing is lost if it is dropped in between.
+    /// Reads more bytes into the buffer; false at the end of the stream. It is safe to cancel.
     pub async fn more(&mut self) -> io::Result<bool> {
         self.buffer.reserve(4096);
         Ok(self.stream.read_buf(&mut self.buffer).await? > 0)
     }
 
-    /// Writes all of it.
+    /// Writes and flushes all bytes.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await?;
         self.stream.flush().await
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Reads an answer; those with a 1xx status in front are skipped.
+    /// Reads a response; interim (1xx) responses are skipped.
     pub async fn answer(&mut self) -> Result<Answer, Unread> {
         loop {
             let mut headers = [httparse::EMPTY_HEADER; HEADERS];
@@ -188,7 +188,7 @@
     }
 }
 
-/// The bytes of an answer.
+/// The bytes of a response.
 pub fn answer_bytes(status: u16, headers: &[(&str, String)], body: &[u8]) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -2,13 +2,14 @@
 //! faults on a timeline and oracles that watch the rules.
 //!
 //! It is written from the platform's public pages and knows nothing of the decision module. A
-//! [`scenario::Scenario`] is a file; [`schedule::Schedule`] is one draw from it by one seed, arrivals included;
-//! [`simulation::Simulation`] plays it over a [`fabric::Fabric`]: pipes in memory under the runtime's paused
-//! clock ([`memory::Memory`]), or sockets on 127.0.0.0/8 ([`fabric::Loopback`]). Everything that the oracles
-//! say is told by this side of the streams and not by the sidecar's own counters.
+//! [`scenario::Scenario`] is a file; [`schedule::Schedule`] is one draw from it by one seed, arrivals
+//! included; [`simulation::Simulation`] plays it over a [`fabric::Fabric`]: pipes in memory under the
+//! runtime's paused clock ([`memory::Memory`]), or sockets on 127.0.0.0/8 ([`fabric::Loopback`]).
+//! Everything that the oracles say is told by this side of the streams and not by the sidecar's own
+//! counters.
 //!
-//! The simulation owns all parties. Each of them ([`client`], [`misbehaving`], [`discovery`], [`fleet`]) has an
-//! [`environment::Environment`] and what else it needs, and none of them knows the simulation.
+//! The simulation owns all parties. Each of them ([`client`], [`misbehaving`], [`discovery`], [`fleet`])
+//! has an [`environment::Environment`] and what else it needs, and none of them knows the simulation.
 //!
 //! All times are milliseconds as `f64`, from the start of the scenario.
 #![forbid(unsafe_code)]
--- a/crates/emulator/src/misbehaving.rs
+++ b/crates/emulator/src/misbehaving.rs
@@ -1,4 +1,4 @@
-//! Misbehaving clients: what they send, and what they are owed (an error or a close, in time).
+//! Misbehaving clients: malformed requests, which must get an error or a close within a time limit.
 
 use crate::accounting::Rule;
 use crate::applications::Applications;
@@ -10,10 +10,10 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout_at;
 
-/// How long a misbehaving client may be left without an error or a close (ms).
+/// Time limit for the error or close (ms).
 const ANSWER_LIMIT: f64 = 3_000.0;
 
-/// What they send, by turns. None of it can be a request that is served.
+/// The malformed requests, sent in turn. None of them may be served.
 const MALFORMED: [&str; 14] = [
     "\0\x01\x02\x03 what is this\r\n\r\n",
     "GET /quote HTTP/1.1\r\nHost: x\r\nX-Endless: ",
@@ -31,19 +31,19 @@
     "",
 ];
 
-/// Clients that send what can't be served.
+/// Clients that send malformed requests.
 pub struct MisbehavingClients<F: Fabric> {
     environment: Rc<Environment<F>>,
     applications: Rc<Applications>,
 }
 
 impl<F: Fabric> MisbehavingClients<F> {
-    /// Misbehaving clients beside these applications.
+    /// Creates the clients; they send only to sidecars whose application runs.
     pub fn new(environment: Rc<Environment<F>>, applications: Rc<Applications>) -> Rc<MisbehavingClients<F>> {
         Rc::new(MisbehavingClients { environment, applications })
     }
 
-    /// Sends malformed requests to one sidecar, about so many a second, until a time (ms).
+    /// Sends malformed requests to one sidecar, as a Poisson process of this rate (per s), until a time (ms).
     pub async fn send_until(self: Rc<Self>, sidecar: usize, rate: f64, until: f64) {
         let clock = &self.environment.clock;
         let mut number = 0_u64;
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Sends one malformed request and judges what comes back.
+    /// Sends one malformed request and checks the response.
     async fn send(self: Rc<Self>, sidecar: usize, number: u64) {
         let environment = &self.environment;
         let text = MALFORMED[number as usize % MALFORMED.len()];
@@ -80,7 +80,7 @@
     }
 }
 
-/// Writes a text and reads until the end of a head or of the stream.
+/// Writes a text and reads up to the end of a response head or of the stream.
 async fn exchange<S: AsyncRead + AsyncWrite + Unpin>(mut stream: S, text: &str) -> Vec<u8> {
     let _ = stream.write_all(text.as_bytes()).await;
     let mut answer = Vec::new();
--- a/crates/emulator/src/result/attempts.rs
+++ b/crates/emulator/src/result/attempts.rs
@@ -1,41 +1,41 @@
-//! Refusals by their cause, and attempts by their end.
+//! Rejections by cause, and attempts by their end.
 
 use super::numbers::ratio;
 use crate::accounting::{AttemptEnd, Regret, RequestAccounting, Try, TryEnd};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Refused tries, and which of them are to be regretted.
+/// Rejected tries, and the regret of them: those that a server could have served.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Refusals {
-    /// Refused of all tries.
+    /// Rejected share of all tries.
     pub tries_share: f64,
-    /// Of the refused: those that a server in service would have answered in time.
+    /// Share of the rejected tries that a server in service could have served in time.
     pub regretted_share: f64,
-    /// By what the tries had behind them, and by what the emulator knew at that moment.
+    /// Counts by the end of the last attempt and by the regret at the rejection.
     pub by_cause: BTreeMap<String, u64>,
-    /// By time from the try's begin to the refusal.
+    /// Counts by the time from the try's begin to the rejection.
     pub by_wait: BTreeMap<String, u64>,
 }
 
-/// What came of attempts.
+/// Counts of attempts by their end.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Attempts {
-    /// Attempts that came whole to a server.
+    /// Attempts that a server received whole.
     pub sent: u64,
-    /// By end.
+    /// Counts by end.
     pub by_end: BTreeMap<String, u64>,
-    /// Sent while an earlier one was out.
+    /// Sent while an earlier attempt of the request was open.
     pub second_copies: u64,
-    /// Most for one request.
+    /// Most attempts of one request.
     pub most: usize,
-    /// Work sent that brought no answer, of all that was sent.
+    /// Share of the sent work that brought no response.
     pub wasted_share: f64,
-    /// Sent to another zone, of all.
+    /// Share of the attempts that went to another zone.
     pub crossed_share: f64,
 }
 
-/// What a refused try had behind it, as the servers saw it.
+/// The name of the end of a rejected try's last attempt.
 fn behind(one: &Try) -> &'static str {
     match one.attempts.last().map(|a| a.end) {
         None => "at_once",
@@ -49,7 +49,7 @@
     }
 }
 
-/// What came of the refused tries.
+/// Counts the rejected tries.
 pub(super) fn refusals(tries: &[Try]) -> Refusals {
     let mut by = Refusals::default();
     let (mut refused, mut regretted) = (0.0, 0.0);
@@ -77,7 +77,7 @@
     by
 }
 
-/// What came of the attempts.
+/// Counts the attempts.
 pub(super) fn attempts(accounting: &RequestAccounting) -> Attempts {
     let (mut all, mut ends) = (Attempts::default(), BTreeMap::<AttemptEnd, u64>::new());
     for one in &accounting.tries {
--- a/crates/emulator/src/result/flows.rs
+++ b/crates/emulator/src/result/flows.rs
@@ -1,4 +1,4 @@
-//! Flows by their end, in all and by class and tenant.
+//! Requests by their end, in total and by class and tenant.
 
 use super::numbers::{histogram, share, Latency};
 use crate::accounting::{Try, TryEnd};
@@ -7,41 +7,41 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Counts of flows; every arrival is one of them.
+/// Counts of requests by their end; every arrival is counted once.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Flows {
     /// Arrivals whose application ran.
     pub asked: u64,
     /// Arrivals whose application was down.
     pub unasked: u64,
-    /// Taken by a sidecar, in one try at least.
+    /// Accepted by a sidecar in at least one try.
     pub taken: u64,
     /// Served within the class's aim, counted from the first try.
     pub served: u64,
     /// Served later.
     pub late: u64,
-    /// Refused in the last try.
+    /// Rejected in the last try.
     pub refused: u64,
-    /// Failed in the last try, or without an answer.
+    /// Failed in the last try, or without a response.
     pub failed: u64,
 }
 
-/// A share of the traffic: a class, or a tenant.
+/// The outcome of a part of the traffic: a class or a tenant.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Part {
-    /// Worth answered within the aim over the worth asked for.
+    /// Share of the requested worth that was served within the aim.
     pub service: f64,
     /// Counts.
     pub flows: Flows,
-    /// Time from the first try to the answer (ms).
+    /// Time from the first try to the response (ms).
     pub latency: Latency,
     #[serde(skip)]
     worth: (f64, f64),
 }
 
-/// A flow with its end.
+/// The end of a request.
 pub(super) struct Ended {
-    /// Time from its arrival to the answer that served it (ms).
+    /// Time from its arrival to the response that served it (ms).
     served_at: Option<f64>,
     /// Whether that was within the class's aim.
     in_time: bool,
@@ -49,7 +49,7 @@
     taken: bool,
 }
 
-/// How the flow of an arrival (ms of the simulation) ended, by its tries.
+/// How a request that arrived at a time (ms) ended, by its tries.
 pub(super) fn ended(schedule: &Schedule, tries: &[&Try], arrived: f64, flow: usize) -> Ended {
     let aim = schedule.class(&schedule.arrivals[flow]).aim_ms;
     let served_at = tries.iter().find(|t| t.end == TryEnd::Served).map(|t| t.ended - arrived);
@@ -75,7 +75,7 @@
 }
 
 impl Ended {
-    /// What of its worth the flow of an arrival earned.
+    /// The worth that the request of an arrival earned.
     pub(super) fn earned(&self, arrival: &Arrival) -> f64 {
         if self.in_time {
             arrival.worth
@@ -84,17 +84,17 @@
         }
     }
 
-    /// The same in microseconds, as histograms count.
+    /// The time to the response in microseconds, as the histograms record it.
     pub(super) fn micros(&self) -> Option<u64> {
         self.served_at.map(|at| (at.max(0.001) * 1e3) as u64)
     }
 }
 
-/// Shares of the traffic by name, with the times of their flows.
+/// Accumulates the outcomes of parts of the traffic by name.
 #[derive(Default)]
 pub(super) struct Parts(BTreeMap<String, (Part, Times)>);
 
-/// Times of flows that were served (us).
+/// Times of served requests (us).
 struct Times(Histogram<u64>);
 
 impl Default for Times {
@@ -104,7 +104,7 @@
 }
 
 impl Parts {
-    /// Counts a flow to a share of the traffic.
+    /// Adds a request to a part of the traffic.
     pub(super) fn add(&mut self, name: &str, arrival: &Arrival, one: &Ended) {
         let (part, times) = self.0.entry(name.to_owned()).or_default();
         part.flows.add(one);
@@ -112,7 +112,7 @@
         one.micros().into_iter().for_each(|t| times.0.saturating_record(t));
     }
 
-    /// What came of each.
+    /// Computes the outcome of each part.
     pub(super) fn finish(self) -> BTreeMap<String, Part> {
         let finished = self.0.into_iter().map(|(name, (mut part, times))| {
             part.latency = Latency::of(&times.0);
@@ -123,7 +123,7 @@
     }
 }
 
-/// The service of the worst; 1 where there is none.
+/// The least service of all parts; 1 where there is none.
 pub(super) fn worst(parts: &BTreeMap<String, Part>) -> f64 {
     parts.values().map(|p| p.service).fold(1.0, f64::min)
 }
--- a/crates/emulator/src/result/mod.rs
+++ b/crates/emulator/src/result/mod.rs
@@ -1,4 +1,4 @@
-//! What came of a scenario: `result.json`, and the series by second.
+//! The outcome of a simulation: the contents of `result.json`, and the series by second.
 
 mod attempts;
 mod flows;
@@ -20,7 +20,7 @@
 use series::Series;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What came of tries.
+/// Counts of tries by their end.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Tries {
     /// Sent.
@@ -29,41 +29,41 @@
     pub served: u64,
     /// Refused.
     pub refused: u64,
-    /// Failed with an answer.
+    /// Failed with an error response.
     pub failed: u64,
-    /// Ended without an answer.
+    /// Ended without a response.
     pub nothing: u64,
-    /// No connection came up.
+    /// No connection was established.
     pub no_connection: u64,
-    /// In hand at a sidecar that was killed.
+    /// In flight at a sidecar that was killed.
     pub excused: u64,
 }
 
-/// What the servers went through.
+/// Figures of the servers and of discovery.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Servers {
-    /// Probes for each server and second.
+    /// Probes per server and second.
     pub probes_per_s: f64,
-    /// Connections opened for each try.
+    /// Connections opened per try.
     pub connections_per_try: f64,
-    /// How often servers turned slow.
+    /// How often servers were degraded by long queues.
     pub chokes: u64,
-    /// Share of the cores in service that was idle, as a mean over the scenario.
+    /// Mean idle share of the cores in service.
     pub idle_share: f64,
     /// Calls answered by discovery, and those that failed.
     pub calls: (u64, u64),
 }
 
-/// What came of a scenario.
+/// The outcome of a simulation, as `result.json` has it.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Outcome {
-    /// The scenario.
+    /// The scenario's name.
     pub day: String,
-    /// Who decided.
+    /// The name of the balancing strategy.
     pub strategy: String,
     /// The seed.
     pub seed: u64,
-    /// Worth answered within its aim over worth asked for; retries belong to their first try.
+    /// Share of the requested worth that was served within its class's aim, counted from the first try.
     pub service: f64,
     /// The same in the worst ten seconds.
     pub worst_window: f64,
@@ -87,15 +87,15 @@
     pub tenants: BTreeMap<String, Part>,
     /// The fleet.
     pub servers: Servers,
-    /// Most descriptors that a sidecar held.
+    /// Most open descriptors of a sidecar.
     pub descriptors: usize,
-    /// Bad requests sent, and those answered by an error or a close in time.
+    /// Malformed requests sent, and those that got an error or a close in time.
     pub bad: (u64, u64),
-    /// Spoilt answers by kind.
+    /// Corrupted responses by kind.
     pub spoilt: BTreeMap<String, u64>,
-    /// Broken rules by name.
+    /// Counts of violations by rule.
     pub violation_counts: BTreeMap<String, u64>,
-    /// Broken rules; the first of them, if there are many.
+    /// The violations; only the first ones where there are many.
     pub violations: Vec<Violation>,
 }
 
@@ -114,7 +114,7 @@
     }
 }
 
-/// What came of a scenario that was played.
+/// Computes the outcome of a simulation that has been played, and its series by second.
 pub fn outcome<F: Fabric>(simulation: &Simulation<F>, strategy: &str) -> (Outcome, Vec<Second>) {
     let (schedule, accounting) = (&simulation.plan, simulation.environment.accounting.borrow());
     let mut series = Series::new(schedule.day.length_s.ceil() as usize);
@@ -143,7 +143,7 @@
     (out, series.finish(&simulation.samples.borrow()))
 }
 
-/// Counts every flow: in all, by second, by class and by tenant.
+/// Counts every request: in total, by second, by class and by tenant.
 fn count_flows<F: Fabric>(
     simulation: &Simulation<F>,
     accounting: &RequestAccounting,
@@ -189,7 +189,7 @@
     }
 }
 
-/// The rules that were broken, each once.
+/// The set of rules that were broken.
 pub fn broken(outcome: &Outcome) -> BTreeSet<Rule> {
     outcome.violations.iter().map(|v| v.rule).collect()
 }
--- a/crates/emulator/src/result/numbers.rs
+++ b/crates/emulator/src/result/numbers.rs
@@ -1,14 +1,14 @@
-//! Rounded shares and percentiles, as a result states them.
+//! Rounded ratios and percentiles.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Rounds to six digits behind the point.
+/// Rounds to six decimal places.
 pub(super) fn round(value: f64) -> f64 {
     (value * 1e6).round() / 1e6
 }
 
-/// A part of something; `empty` where there is nothing to be a part of.
+/// A rounded ratio; `empty` where the denominator is 0.
 fn part(part: f64, of: f64, empty: f64) -> f64 {
     if of > 0.0 {
         round(part / of)
@@ -17,33 +17,33 @@
     }
 }
 
-/// Worth earned of the worth asked for; nothing asked for is nothing lost.
+/// Earned share of the requested worth; 1 where nothing was requested.
 pub(super) fn share(earned: f64, asked: f64) -> f64 {
     part(earned, asked, 1.0)
 }
 
-/// A part of something; nothing of nothing is nothing.
+/// A rounded ratio; 0 where the denominator is 0.
 pub(super) fn ratio(some: f64, of: f64) -> f64 {
     part(some, of, 0.0)
 }
 
-/// Percentiles (ms) of the time from the first try to the answer of flows that were served at all.
-/// Arrivals do not wait for answers, so nothing is omitted while a server stalls.
+/// Percentiles (ms) of the time from the first try to the response, over all served requests.
+/// The load is open-loop, so there is no coordinated omission while a server stalls.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Latency {
-    /// Half are faster.
+    /// The median.
     pub p50: f64,
-    /// Nine in ten are faster.
+    /// The 90th percentile.
     pub p90: f64,
-    /// 99 in 100 are faster.
+    /// The 99th percentile.
     pub p99: f64,
-    /// 999 in 1000 are faster.
+    /// The 99.9th percentile.
     pub p999: f64,
-    /// The slowest.
+    /// The maximum.
     pub max: f64,
 }
 
-/// A histogram of times in microseconds, up to a minute, to three digits.
+/// A histogram of times from 1 us to a minute, with three significant digits.
 pub(super) fn histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 60_000_000, 3).unwrap_or_else(|_| unreachable!("the bounds are in order"))
 }
--- a/crates/emulator/src/result/series.rs
+++ b/crates/emulator/src/result/series.rs
@@ -1,4 +1,4 @@
-//! The scenario by second.
+//! The time series of a simulation, by second.
 
 use super::flows::Ended;
 use super::numbers::{histogram, round, share, Latency};
@@ -8,38 +8,38 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// The window that the worst is looked for in (s).
+/// Length of the sliding window for the worst service (s).
 const WINDOW: usize = 10;
 
-/// One second of the scenario.
+/// The figures of one second of the scenario.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Second {
-    /// Which.
+    /// The second, counted from 0.
     pub second: usize,
-    /// Worth asked for.
+    /// Requested worth.
     pub worth: f64,
-    /// Worth answered within its aim, by the second of the first try.
+    /// Worth served within its aim, by the second of the arrival.
     pub served: f64,
-    /// Tries sent and refused in it.
+    /// Tries sent.
     pub tries: u64,
-    /// Refused tries.
+    /// Rejected tries, by the second in which they were sent.
     pub refused: u64,
-    /// Latency of flows that began in it (ms): half, and 99 in 100, are faster.
+    /// Median latency of the requests that arrived in it (ms).
     pub p50: f64,
-    /// See above.
+    /// 99th percentile of the latency (ms).
     pub p99: f64,
-    /// The fleet.
+    /// The state of the fleet.
     pub fleet: Sample,
 }
 
-/// The seconds of a scenario while they are counted; what lies beyond the last counts to it.
+/// Accumulates the time series; later events count to the last second.
 pub(super) struct Series {
     seconds: Vec<Second>,
     times: Vec<Histogram<u64>>,
 }
 
 impl Series {
-    /// So many seconds, at least one.
+    /// Creates a series of so many seconds, which must be at least one.
     pub(super) fn new(seconds: usize) -> Series {
         Series {
             seconds: (0..seconds).map(|second| Second { second, ..Second::default() }).collect(),
@@ -47,12 +47,12 @@
         }
     }
 
-    /// The second of a time of the scenario (ms).
+    /// The index of the second of a time since the scenario's begin (ms).
     fn at(&self, at: f64) -> usize {
         ((at / 1e3).max(0.0) as usize).min(self.seconds.len() - 1)
     }
 
-    /// Counts a flow to the second of its arrival.
+    /// Adds a request to the second of its arrival.
     pub(super) fn add_flow(&mut self, arrival: &Arrival, one: &Ended) {
         let second = self.at(arrival.at);
         self.seconds[second].worth += arrival.worth;
@@ -60,14 +60,14 @@
         one.micros().into_iter().for_each(|time| self.times[second].saturating_record(time));
     }
 
-    /// Counts a try to the second of the scenario (ms) in which it was sent.
+    /// Adds a try that was sent at a time since the scenario's begin (ms).
     pub(super) fn add_try(&mut self, sent: f64, end: TryEnd) {
         let second = self.at(sent);
         self.seconds[second].tries += 1;
         self.seconds[second].refused += u64::from(matches!(end, TryEnd::Refused(_)));
     }
 
-    /// The share of the worth that was earned in the worst window.
+    /// The service in the worst window.
     pub(super) fn worst_window(&self) -> f64 {
         let windows = self.seconds.windows(WINDOW.min(self.seconds.len())).map(|w| {
             let sum = |f: fn(&Second) -> f64| w.iter().map(f).sum::<f64>();
@@ -76,7 +76,7 @@
         windows.fold(1.0, f64::min)
     }
 
-    /// The seconds, rounded, with the fleet in each.
+    /// The rounded figures, with the sample of the fleet in each second.
     pub(super) fn finish(mut self, samples: &[Sample]) -> Vec<Second> {
         for (second, times) in self.seconds.iter_mut().zip(&self.times) {
             let latency = Latency::of(times);
--- a/crates/emulator/src/scenario/checks.rs
+++ b/crates/emulator/src/scenario/checks.rs
@@ -1,4 +1,4 @@
-//! What of a scenario can't be played, each problem with its key.
+//! The validation of a scenario: every figure that can't be simulated, with its key.
 
 use super::{Class, Fault, Kind, Scenario};
 
@@ -7,7 +7,7 @@
 struct Problems(Vec<String>);
 
 impl Problems {
-    /// Notes a problem where something is not fine.
+    /// Adds a problem where a condition does not hold.
     fn want(&mut self, fine: bool, say: impl Into<String>) {
         if !fine {
             self.0.push(say.into());
@@ -81,7 +81,7 @@
 }
 
 impl Scenario {
-    /// Everything in it that can't be played.
+    /// All problems of the scenario, each with its key; empty where it can be simulated.
     pub fn problems(&self) -> Vec<String> {
         let mut problems = Problems::default();
         problems.want(!self.name.is_empty(), "name is empty");
--- a/crates/emulator/src/scenario/defaults.rs
+++ b/crates/emulator/src/scenario/defaults.rs
@@ -1,4 +1,4 @@
-//! What a scenario has where its file says nothing.
+//! The defaults of a scenario.
 
 use super::{Class, Effect, Kind, Range, Tenant};
 
--- a/crates/emulator/src/scenario/mod.rs
+++ b/crates/emulator/src/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! Scenarios as files: TOML, every figure a plain value or a range, unknown keys refused.
+//! Scenarios as TOML files: every figure is a plain value or a range; unknown keys are rejected.
 
 mod checks;
 mod defaults;
@@ -16,7 +16,7 @@
 use serde::Deserialize;
 use std::path::Path;
 
-/// A scenario.
+/// A scenario, which seeds turn into schedules.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
@@ -25,10 +25,10 @@
     /// What it is for, in a sentence.
     #[serde(default)]
     pub about: String,
-    /// For all draws, where the command line names no other.
+    /// The seed, where the command line gives none.
     #[serde(default = "defaults::one")]
     pub seed: u64,
-    /// How long clients ask (s).
+    /// How long clients send requests (s).
     #[serde(default = "defaults::minute")]
     pub length_s: f64,
     /// How many there are of everything, and where.
@@ -61,34 +61,34 @@
     /// What sidecars may do and hold.
     #[serde(default)]
     pub limits: Limits,
-    /// What goes wrong, and when.
+    /// The faults (`[[trouble]]` in the file).
     #[serde(default, rename = "trouble")]
     pub faults: Vec<Fault>,
 }
 
-/// Why a scenario can't be played: all problems at once, each with its key.
+/// Why a scenario can't be simulated: all problems at once, each with its key.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
     /// The file can't be read.
     #[error("{0}: {1}")]
     Unreadable(String, std::io::Error),
-    /// It is no scenario.
+    /// The file is no scenario in TOML.
     #[error("{0}: {1}")]
     Unparsable(String, toml::de::Error),
-    /// Its figures can't be played.
+    /// Its figures can't be simulated.
     #[error("{0}: {list}", list = .1.join("; "))]
     Impossible(String, Vec<String>),
 }
 
 impl Scenario {
-    /// Reads a file.
+    /// Reads a scenario file; the error names the file.
     pub fn load(path: &Path) -> Result<Scenario, ScenarioError> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|e| ScenarioError::Unreadable(name.clone(), e))?;
         Scenario::read(&name, &text)
     }
 
-    /// Reads a scenario's text; `name` stands in the error.
+    /// Parses the text of a scenario; `name` is the file's name in the error.
     pub fn read(name: &str, text: &str) -> Result<Scenario, ScenarioError> {
         let scenario: Scenario =
             toml::from_str(text).map_err(|e| ScenarioError::Unparsable(name.into(), e))?;
--- a/crates/emulator/src/schedule/arrivals.rs
+++ b/crates/emulator/src/schedule/arrivals.rs
@@ -1,4 +1,4 @@
-//! Arrivals: a Poisson stream whose rate swings and bursts, drawn before the scenario begins.
+//! The arrivals: a Poisson process whose rate swings slowly and has bursts, drawn by thinning.
 
 use super::faults::ScheduledFault;
 use super::random::{pick, Draws, Purpose};
@@ -8,24 +8,24 @@
 use rand_distr::{Distribution, Exp, LogNormal, Zipf};
 use std::f64::consts::TAU;
 
-/// A request that will be asked for.
+/// A scheduled request.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// When (ms).
+    /// Its time since the scenario's begin (ms).
     pub at: f64,
-    /// At which sidecar.
+    /// The sidecar.
     pub sidecar: usize,
     /// Its class.
     pub class: usize,
     /// Its tenant.
     pub tenant: usize,
-    /// Its key.
+    /// Its cache key.
     pub key: Option<u64>,
     /// Its work (ms of a standard core).
     pub work: f64,
-    /// Whether it is beyond its tenant's share.
+    /// Whether it exceeds its tenant's quota.
     pub over_share: bool,
-    /// What it is worth.
+    /// Its worth.
     pub worth: f64,
 }
 
@@ -145,7 +145,8 @@
     }
 }
 
-/// Draws the tenants' quotas (requests a second) and every arrival of the scenario, thinned from the peak rate.
+/// Draws the tenants' quotas (requests a second) and every arrival of the scenario, thinned from the peak
+/// rate.
 pub(super) fn arrivals(
     scenario: &Scenario,
     seed: u64,
--- a/crates/emulator/src/schedule/faults.rs
+++ b/crates/emulator/src/schedule/faults.rs
@@ -1,29 +1,29 @@
-//! Troubles as a draw has them.
+//! The scheduled faults.
 
 use super::random::{Draws, Purpose};
 use crate::scenario::{Fault, FaultKind, Scenario};
 use rand::Rng;
 
-/// A fault with its figures drawn.
+/// A fault with its drawn parameters.
 #[derive(Clone, Debug)]
 pub struct ScheduledFault {
-    /// What.
+    /// Its kind.
     pub kind: FaultKind,
-    /// From when until when (ms).
+    /// Its begin (ms since the scenario's).
     pub from: f64,
-    /// Its end (ms).
+    /// Its end (ms since the scenario's begin).
     pub until: f64,
-    /// How bad.
+    /// Its size, whose meaning depends on the kind.
     pub size: f64,
-    /// Share that it meets.
+    /// The share of servers, sidecars or responses that it affects.
     pub part: f64,
-    /// The zone that it meets.
+    /// The zone that it affects.
     pub zone: usize,
-    /// Whether the zone goes silent.
+    /// Whether lost servers are partitioned instead of reset.
     pub silent: bool,
-    /// Whether sidecars are lost too.
+    /// Whether the zone's sidecars are lost too.
     pub sidecars: bool,
-    /// Whom it meets, in an order drawn for it.
+    /// The servers or sidecars in the drawn order in which it affects them.
     pub order: Vec<usize>,
 }
 
--- a/crates/emulator/src/schedule/mod.rs
+++ b/crates/emulator/src/schedule/mod.rs
@@ -1,7 +1,7 @@
-//! One draw from a scenario: who there is, what comes, and what goes wrong, all of it known before the start.
+//! The schedule of a simulation: servers, sidecars, arrivals and faults, drawn from a scenario by a seed.
 //!
-//! Arrivals are drawn ahead, so that answers never slow them. Each purpose has a stream of random
-//! numbers of its own: a change of one leaves the others as they were.
+//! Arrivals are drawn before the start, so that the load is open-loop. Each purpose has a random stream of
+//! its own, so that a change in one part of a scenario leaves the draws of the others as they were.
 
 mod arrivals;
 mod faults;
@@ -20,35 +20,35 @@
 use random::{pick, Draws};
 use servers::{capacity_of, server, sidecars};
 
-/// Clients' figures of the scenario.
+/// The drawn parameters of the clients.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientPlan {
-    /// Tries after the first.
+    /// Retries after the first try.
     pub retries: usize,
-    /// What a try may take.
+    /// Timeout of a try, as a share of the class's deadline.
     pub try_share: f64,
-    /// Wait between tries (ms).
+    /// Back-off between tries (ms).
     pub backoff: f64,
-    /// Share that honours advice.
+    /// Share of the requests whose client honours `Retry-After`.
     pub honour: f64,
 }
 
-/// Discovery's figures of the scenario.
+/// The drawn parameters of discovery.
 #[derive(Clone, Copy, Debug)]
 pub struct DiscoveryPlan {
-    /// Delay of what it is told (ms).
+    /// Delay of an announced change (ms).
     pub notice: f64,
-    /// Delay of what ends without a word (ms).
+    /// Delay until a server that failed without an announcement is removed (ms).
     pub silent_notice: f64,
-    /// Delay of a start (ms).
+    /// Delay until a started server is listed (ms).
     pub add: f64,
-    /// Time of one call (ms).
+    /// Service time of one call (ms).
     pub call: f64,
-    /// A call that waits longer fails (ms).
+    /// Calls that would wait longer fail (ms).
     pub timeout: f64,
 }
 
-/// One draw from a scenario.
+/// The schedule of a simulation.
 #[derive(Clone, Debug)]
 pub struct Schedule {
     /// The scenario.
@@ -65,11 +65,11 @@
     pub arrivals: Vec<Arrival>,
     /// Faults in the order of the file.
     pub troubles: Vec<ScheduledFault>,
-    /// Clients' figures.
+    /// The parameters of the clients.
     pub clients: ClientPlan,
-    /// Discovery's figures.
+    /// The parameters of discovery.
     pub discovery: DiscoveryPlan,
-    /// One way within a zone and between zones (ms), and its spread.
+    /// One-way delay within a zone and between zones (ms), and its coefficient of variation.
     pub network: (f64, f64, f64),
 }
 
@@ -85,7 +85,7 @@
     }
 }
 
-/// Draws discovery's figures, and the network's from the same stream.
+/// Draws the parameters of discovery, and those of the network from the same random stream.
 fn discovery_and_network(scenario: &Scenario, seed: u64) -> (DiscoveryPlan, (f64, f64, f64)) {
     let mut d = Draws::new(seed, Purpose::Discovery);
     let figures = &scenario.discovery;
@@ -102,7 +102,7 @@
 }
 
 impl Schedule {
-    /// Draws a scenario.
+    /// Draws the schedule of a scenario; equal seeds draw equal schedules.
     pub fn draw(scenario: &Scenario, seed: u64) -> Schedule {
         let servers = servers::servers(scenario, seed);
         let sidecars = sidecars(scenario, seed);
@@ -124,7 +124,7 @@
         }
     }
 
-    /// A new server for a place that is free: drawn by its number, the same in every play.
+    /// Draws a server that is added during the simulation, by its number among those.
     pub fn replacement(&self, number: usize, zone: usize) -> ServerPlan {
         let mut d = Draws::new(self.seed, Purpose::Replacements);
         d.0.set_word_pos(number as u128 * 4096);
@@ -138,17 +138,17 @@
         &self.day.classes[arrival.class]
     }
 
-    /// Capacity of the warm fleet: work of a standard core, in ms a ms.
+    /// Capacity of the warm fleet: work (ms of a standard core) in a ms.
     pub fn capacity(&self) -> f64 {
         capacity_of(&self.servers)
     }
 
-    /// The faults of a kind at a time of the scenario (ms).
+    /// The faults of a kind that are active at a time since the scenario's begin (ms).
     pub fn active(&self, kind: FaultKind, at: f64) -> impl Iterator<Item = &ScheduledFault> {
         self.troubles.iter().filter(move |t| t.kind == kind && (t.from..t.until).contains(&at))
     }
 
-    /// The `Idempotency-Key` of a flow, equal in all its tries; `None` where its class has none.
+    /// The `Idempotency-Key` of a request, equal in all its tries; `None` where its class has none.
     pub fn key_of(&self, flow: usize) -> Option<String> {
         let keyed = self.class(&self.arrivals[flow]).effect == Effect::Keyed;
         keyed.then(|| format!("{:016x}", hashed(self.seed, &[23, flow as u64]).to_bits()))
--- a/crates/emulator/src/schedule/random.rs
+++ b/crates/emulator/src/schedule/random.rs
@@ -1,10 +1,10 @@
-//! Random numbers: one stream for each purpose, numbers that belong to a key, and draws from both.
+//! Random numbers: one stream for each purpose, and hashed numbers that depend on a key only.
 
 use crate::scenario::Range;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// What a stream of random numbers is for.
+/// The purpose of a random stream.
 #[derive(Clone, Copy, Debug)]
 pub enum Purpose {
     /// Machines.
@@ -19,18 +19,18 @@
     Clients,
     /// Discovery's figures.
     Discovery,
-    /// Replacements of servers. The numbers are part of every draw.
+    /// Servers added during the simulation. The numeric values select the streams and must not change.
     Replacements = 7,
 }
 
-/// A stream of random numbers.
+/// The random stream of a purpose.
 pub fn stream(seed: u64, purpose: Purpose) -> ChaCha8Rng {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     rng.set_stream(purpose as u64);
     rng
 }
 
-/// A number from 0 to 1 that belongs to these and nothing else: the same whatever came before.
+/// A uniform number from 0 to 1 that depends on the seed and these parts only.
 pub fn hashed(seed: u64, parts: &[u64]) -> f64 {
     let mut state = seed ^ 0x9e37_79b9_7f4a_7c15;
     for part in parts {
@@ -43,7 +43,7 @@
     (state >> 11) as f64 / (1_u64 << 53) as f64
 }
 
-/// A factor round 1 with this spread, from one number from 0 to 1.
+/// A lognormal factor with mean 1 and this coefficient of variation, from a uniform number from 0 to 1.
 pub fn factor(cv: f64, draw: f64) -> f64 {
     // Two uniform halves of the draw's bits give a normal one (Box and Muller).
     let (a, b) = (draw.clamp(1e-9, 1.0 - 1e-9), (draw * 65_536.0).fract());
@@ -52,21 +52,21 @@
     (sigma * normal - sigma * sigma / 2.0).exp()
 }
 
-/// Draws from one stream of random numbers.
+/// Draws from one random stream.
 pub(super) struct Draws(pub(super) ChaCha8Rng);
 
 impl Draws {
-    /// Draws of one purpose, from their beginning.
+    /// The draws of a purpose, from the begin of its stream.
     pub(super) fn new(seed: u64, purpose: Purpose) -> Draws {
         Draws(stream(seed, purpose))
     }
 
-    /// A figure out of its range.
+    /// Draws a figure from its range.
     pub(super) fn of(&mut self, range: Range) -> f64 {
         range.at(self.0.random::<f64>())
     }
 
-    /// Shares of so many, unlike by a spread.
+    /// Draws so many shares with the sum 1, the more unequal the larger the skew.
     pub(super) fn shares(&mut self, n: usize, skew: f64) -> Vec<f64> {
         let raw: Vec<f64> = (0..n).map(|_| 1.0 + skew * (2.0 * self.0.random::<f64>() - 1.0) * 1.5).collect();
         let raw: Vec<f64> = raw.into_iter().map(|s| s.max(0.1)).collect();
@@ -74,7 +74,7 @@
         raw.into_iter().map(|s| s / sum).collect()
     }
 
-    /// An order of so many.
+    /// Draws a permutation of so many (Fisher and Yates).
     pub(super) fn order(&mut self, n: usize) -> Vec<usize> {
         let mut all: Vec<usize> = (0..n).collect();
         for i in (1..n).rev() {
@@ -84,7 +84,7 @@
     }
 }
 
-/// Spreads so many over zones by shares, each zone's by the largest remainder.
+/// Distributes so many over shares by the largest remainder; returns the index of the share for each.
 pub(super) fn spread(n: usize, shares: &[f64]) -> Vec<usize> {
     let mut counts = vec![0_usize; shares.len()];
     (0..n)
@@ -97,7 +97,7 @@
         .collect()
 }
 
-/// Where a number from 0 to 1 falls among shares.
+/// The index of the share in which a number from 0 to 1 falls.
 pub(super) fn pick(shares: impl Iterator<Item = f64>, mut at: f64) -> usize {
     let mut last = 0;
     for (number, share) in shares.enumerate() {
--- a/crates/emulator/src/server/crowding.rs
+++ b/crates/emulator/src/server/crowding.rs
@@ -1,25 +1,25 @@
-//! The slow state that a server falls into after too many have waited for too long.
+//! The degraded state that a server enters after its queue has been too long for too long, and its recovery.
 
 use super::Server;
 
-/// Whether crowding has turned it slow.
+/// The state of the degradation by a long queue. Times are in ms.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Crowding {
-    /// No more wait than it bears.
+    /// The queue is within its limit.
     Calm,
-    /// Too many have waited since then.
+    /// The queue has exceeded its limit since this time.
     Crowded(f64),
-    /// It is slow since then, and has been mostly idle since the second time, if at all.
+    /// Degraded since the first time, and nearly idle since the second, if it is.
     Slow(f64, Option<f64>),
 }
 
 impl Server {
-    /// Whether crowding has turned it slow.
+    /// Whether it is degraded by a long queue.
     pub fn slow(&self) -> bool {
         matches!(self.crowding, Crowding::Slow(..))
     }
 
-    /// Turns slow when too many have waited for too long, and back when it was mostly idle.
+    /// Enters the degraded state after a long queue, and leaves it after a rest or its maximal duration.
     pub(super) fn crowd(&mut self) {
         let Some(choke) = self.plan.choke else { return };
         let queued = (self.held() as f64 - self.plan.cores).max(0.0);
--- a/crates/emulator/src/server/job.rs
+++ b/crates/emulator/src/server/job.rs
@@ -1,35 +1,35 @@
-//! What a server is given to do, and what it makes of it.
+//! The jobs of a server: requests, rejections and completions.
 
-/// What a server is given to do.
+/// A unit of work for a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Job {
     /// Number of its own.
     pub id: u64,
-    /// Work (ms of a standard core), without what its key saves.
+    /// Work (ms of a standard core) without the saving by a cached key.
     pub work: f64,
     /// Its key.
     pub key: Option<u64>,
-    /// Whether it fails in the end.
+    /// Whether it ends with an error.
     pub error: bool,
 }
 
-/// Why a server takes a job not.
+/// Why a server rejects a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TurnedAway {
-    /// Its waiting room is full.
+    /// Its queue is full.
     Full,
-    /// It drains.
+    /// It is draining.
     Draining,
-    /// It is not there.
+    /// It is down.
     Down,
 }
 
-/// What ended at a server.
+/// The completion of a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Done {
     /// The job's number.
     pub id: u64,
-    /// When.
+    /// When it ended (ms).
     pub at: f64,
     /// Whether it failed.
     pub error: bool,
--- a/crates/emulator/src/server/mod.rs
+++ b/crates/emulator/src/server/mod.rs
@@ -1,9 +1,9 @@
-//! The model of one config server, without I/O: what it holds, how fast it works, and what it says.
+//! The model of one config server, without I/O.
 //!
-//! Requests in work share the cores evenly (processor sharing); the rest waits in order. What changes the
-//! pace (warmth, thrash, a full connection table, the slow state after crowding, a pause) changes it for
-//! all of them, so that attained service is one number for the server and a request ends when that number
-//! has grown by its work.
+//! Running requests share the cores evenly (processor sharing); the others wait in a FIFO queue. Everything
+//! that changes the speed (warm-up, thrashing, a full connection table, degradation by a long queue, pauses)
+//! changes it for all running requests alike, so that attained service is one number for the server, and a
+//! request ends when that number has grown by its work. Times are in ms, work in ms of a standard core.
 
 mod crowding;
 mod job;
@@ -18,17 +18,17 @@
 use crowding::Crowding;
 use std::collections::{BTreeMap, VecDeque};
 
-/// How often a pace that changes by itself is looked at anew (ms).
+/// Longest step while the speed changes by itself (ms).
 const LOOK: f64 = 20.0;
 
-/// Whether a server takes work.
+/// The life-cycle phase of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It does.
+    /// It accepts work.
     Up,
-    /// It finishes what it has.
+    /// Draining: it finishes the work that it holds.
     Draining,
-    /// It is not there.
+    /// Down.
     Down,
 }
 
@@ -40,12 +40,12 @@
     error: bool,
 }
 
-/// A server at this moment.
+/// The state of a server.
 #[derive(Debug)]
 pub struct Server {
-    /// What it is.
+    /// Its parameters.
     pub plan: ServerPlan,
-    /// Whether it takes work.
+    /// Its phase.
     pub phase: Phase,
     seed: u64,
     now: f64,
@@ -61,27 +61,27 @@
     crowding: Crowding,
     paused_until: f64,
     next_pause: f64,
-    /// Times slower by a fault.
+    /// The factor by which a fault slows it down.
     pub slowed: f64,
     /// Open connections.
     pub conns: usize,
-    /// Probes that it holds.
+    /// Open probes.
     pub probing: usize,
     /// Keys met, with the time.
     keys: BTreeMap<u64, f64>,
     /// Work that it was sent while cold.
     sent: VecDeque<(f64, f64)>,
-    /// Whether it was pushed over while cold.
+    /// Whether it has failed by overload while cold.
     pub fallen: bool,
     /// The figures as they were at the last two refreshes.
     figures: [(f64, Report); 2],
-    /// How often it has turned slow.
+    /// How often it was degraded by a long queue.
     pub chokes: u64,
     mean_work: f64,
 }
 
 impl Server {
-    /// A server that has run for long.
+    /// Creates a warm server that has been up for long.
     pub fn new(plan: ServerPlan, seed: u64, mean_work: f64) -> Server {
         let first = plan.pause.0 * hashed(seed, &[1]);
         Server {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Its process starts anew, cold and empty.
+    /// Starts a new process, cold and empty.
     pub fn start(&mut self, now: f64) {
         let plan = self.plan.clone();
         let (seed, slowed, chokes) = (self.seed, self.slowed, self.chokes);
@@ -134,12 +134,12 @@
         self.waiting.len()
     }
 
-    /// Whether it stands still.
+    /// Whether it is paused.
     pub fn paused(&self) -> bool {
         self.now < self.paused_until
     }
 
-    /// When it is to be looked at again, if nothing comes.
+    /// The time of its next event, if no work arrives before; infinite where it is down.
     pub fn next(&self) -> f64 {
         if self.phase == Phase::Down {
             return f64::INFINITY;
@@ -163,7 +163,7 @@
         self.running.iter().map(|w| w.end).min_by(f64::total_cmp)
     }
 
-    /// Lets it work until now; what ended is appended.
+    /// Advances the model to `now` and appends the jobs that completed.
     pub fn advance(&mut self, now: f64, done: &mut Vec<Done>) {
         while self.now < now {
             let step = self.next().min(now).max(self.now);
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Takes a job, or says why not.
+    /// Accepts a job; the error says why it is rejected.
     pub fn offer(&mut self, job: Job) -> Result<(), TurnedAway> {
         match self.phase {
             Phase::Down => return Err(TurnedAway::Down),
@@ -240,7 +240,7 @@
         job.work * if met { 1.0 - gain } else { 1.0 }
     }
 
-    /// Its sidecar hung up: drops what still waits, and what is in work, where the kind does that.
+    /// Cancels a job whose client hung up, as far as this kind of server does; true where it was dropped.
     pub fn hang_up(&mut self, id: u64) -> bool {
         if self.plan.cancel == Cancel::None {
             return false;
@@ -254,17 +254,17 @@
         self.held() < before
     }
 
-    /// Work that belongs to no request.
+    /// Adds work that belongs to no request.
     pub fn chore(&mut self, work: f64) {
         self.chores += work;
     }
 
-    /// Stands still until then.
+    /// Pauses until a time.
     pub fn pause(&mut self, until: f64) {
         self.paused_until = self.paused_until.max(until);
     }
 
-    /// Its process ends; what it held is lost.
+    /// Stops the process; returns the ids of the jobs that are lost.
     pub fn stop(&mut self) -> Vec<u64> {
         self.phase = Phase::Down;
         let held = self.running.drain(..).chain(self.waiting.drain(..)).map(|w| w.id);
--- a/crates/emulator/src/server/pace.rs
+++ b/crates/emulator/src/server/pace.rs
@@ -1,13 +1,13 @@
-//! How fast a server works: warmth, thrash, connections, crowding and pauses.
+//! The speed of a server: warm-up, thrashing, connection table, degradation, pauses and injected slowness.
 
 use super::crowding::Crowding;
 use super::{Phase, Server};
 
-/// Kept free of the budget of a cold server, in requests of mean work: chance alone breaks no rule.
+/// Tolerance of the overload limit of a cold server, in requests of mean work, so that chance breaks no rule.
 const CHANCE: f64 = 4.0;
 
 impl Server {
-    /// Share of its capacity that it has by its warmth: even over the stated time, sooner by requests.
+    /// The share of its capacity that it has while it warms up: linear in time, or faster in served requests.
     pub fn warmth(&self) -> f64 {
         let (from, time, requests) = self.plan.cold;
         let Some(started) = self.started else { return 1.0 };
@@ -16,7 +16,7 @@
         from + (1.0 - from) * by_time.max(by_work).clamp(0.0, 1.0)
     }
 
-    /// Work that it does in a millisecond when all cores are busy.
+    /// Its capacity when all cores are busy: work (ms of a standard core) in a ms.
     pub fn capacity(&self) -> f64 {
         if self.phase == Phase::Down || self.fallen {
             return 0.0;
@@ -31,7 +31,8 @@
         p.cores * p.speed * self.warmth() / (1.0 + p.thrash.0 * over) * (1.0 - table) / slow / self.slowed
     }
 
-    /// How long work would take if it came now and nothing came after it (ms).
+    /// How long a job of this work would take if it were the last one to arrive (ms); infinite where it is
+    /// down or draining.
     pub fn forecast(&self, work: f64) -> f64 {
         let (capacity, cores) = (self.capacity(), self.plan.cores);
         if capacity <= 0.0 || self.phase != Phase::Up {
@@ -42,7 +43,7 @@
         pause + work * sharing / capacity
     }
 
-    /// Service that each request in work gets in a millisecond.
+    /// The service that each running request gets in a ms.
     pub(super) fn pace(&self) -> f64 {
         let busy = self.running.len() as f64;
         if busy == 0.0 || self.now < self.paused_until {
@@ -54,8 +55,8 @@
         self.capacity() / self.plan.cores * (cores / busy).min(1.0)
     }
 
-    /// Counts work sent to it while cold; true where it goes over with that: sent more than `multiple`
-    /// of what it can do at this moment, within `window` (ms).
+    /// Counts work sent to a cold server; true where it fails by overload: more than `multiple` of its
+    /// current capacity within `window` (ms).
     pub fn push(&mut self, work: f64, multiple: f64, window: f64) -> bool {
         if self.phase != Phase::Up || self.fallen || self.warmth() >= 1.0 {
             self.sent.clear();
--- a/crates/emulator/src/server/report.rs
+++ b/crates/emulator/src/server/report.rs
@@ -1,9 +1,9 @@
-//! What a server says of its load: late, and off by a noise.
+//! The load report of a server, delayed and noisy.
 
 use super::Server;
 use crate::schedule::factor;
 
-/// What a probe or an answer says of a server.
+/// The load figures of a server, as probes and responses carry them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
     /// Requests held.
@@ -24,7 +24,7 @@
         }
     }
 
-    /// What it says of itself: late, and off by a noise from this draw (0 to 1).
+    /// Its current report: figures as old as the reporting delay, times a noise from this draw (0 to 1).
     pub fn report(&mut self, draw: f64) -> Report {
         self.refresh(self.now);
         let (_, delay, noise) = self.plan.report;
--- a/crates/emulator/src/simulation/config.rs
+++ b/crates/emulator/src/simulation/config.rs
@@ -1,4 +1,4 @@
-//! The configuration that a sidecar is started with, in the platform's form.
+//! The configuration of a sidecar, in the platform's JSON form.
 
 use super::Simulation;
 use crate::fabric::Fabric;
@@ -12,7 +12,7 @@
 }
 
 impl<F: Fabric> Simulation<F> {
-    /// The configuration of a sidecar for its start of this number (0 for the first).
+    /// The configuration for a sidecar's start of this number, counted from 0.
     pub fn config(&self, sidecar: usize, start: u64) -> Value {
         let schedule = &self.plan;
         let limits = &schedule.day.limits;
@@ -30,7 +30,7 @@
     }
 }
 
-/// What the platform tells a sidecar of its fleet, its traffic and its obligations.
+/// The settings: fleet, traffic, limits and obligations.
 fn settings(schedule: &Schedule, sidecar: usize) -> Value {
     let scenario = &schedule.day;
     let classes: Vec<Value> = scenario.classes.iter().map(request_class).collect();
@@ -74,7 +74,7 @@
     json!({"name": tenant.name, "quota_per_s": quota})
 }
 
-/// What a sidecar may do; `idle_s` is how long servers keep an idle connection at least (s).
+/// The features and limits of a sidecar; `idle_s` is the servers' shortest idle timeout of connections (s).
 fn limits(limits: &Limits, idle_s: f64) -> Value {
     json!({
         "probes": limits.probes,
@@ -88,7 +88,7 @@
     })
 }
 
-/// What a sidecar owes, and how cold servers begin.
+/// The obligations of a sidecar, with the warm-up of servers that they depend on.
 fn obligations(schedule: &Schedule) -> Value {
     let limits = &schedule.day.limits;
     let colds = schedule.servers.iter().map(|s| s.cold);
--- a/crates/emulator/src/simulation/faults.rs
+++ b/crates/emulator/src/simulation/faults.rs
@@ -123,8 +123,8 @@
         up.iter().for_each(|m| self.start_server(m));
     }
 
-    /// Cuts servers off or stops them, with the sidecars of their zone where the fault says so. At `until` (ms)
-    /// all of them start again, the servers cold.
+    /// Cuts servers off or stops them, with the sidecars of their zone where the fault says so. At `until`
+    /// (ms) all of them start again, the servers cold.
     async fn lose(self: &Rc<Self>, fault: &ScheduledFault, lost: Vec<Rc<Member>>, until: f64) {
         let lost: Vec<_> = lost.into_iter().filter(|m| m.in_service()).collect();
         for member in &lost {
--- a/crates/emulator/src/simulation/mod.rs
+++ b/crates/emulator/src/simulation/mod.rs
@@ -25,19 +25,21 @@
 use std::rc::Rc;
 use tokio::task::{spawn_local, JoinHandle};
 
-/// The simulation of a scenario.
+/// The simulation of a scenario on one kind of network.
+///
+/// The fields [`Simulation::plan`] and [`Simulation::ledger`] are those of the environment.
 pub struct Simulation<F: Fabric> {
-    /// What all parties share.
+    /// The state that all parties share.
     pub environment: Rc<Environment<F>>,
     /// The schedule of the scenario, as drawn by its seed.
     pub plan: Rc<Schedule>,
-    /// The list, and who tells it.
+    /// The discovery service.
     discovery: Rc<discovery::Service<F>>,
-    /// What became of every request.
+    /// The request accounting.
     pub ledger: Rc<RefCell<RequestAccounting>>,
-    /// The fleet by second.
+    /// The state of the fleet in each second.
     pub samples: RefCell<Vec<Sample>>,
-    /// Mean work of the scenario's requests.
+    /// Mean work of the scheduled requests (ms of a standard core).
     mean_work: f64,
     members: Rc<Members>,
     fleet: Rc<Fleet<F>>,
@@ -50,7 +52,7 @@
 }
 
 impl<F: Fabric> Simulation<F> {
-    /// A simulation at its beginning; `epoch` is the Unix time (ms) that its clocks show then.
+    /// Creates a simulation that has not started; `epoch` is the Unix time (ms) that its clock shows then.
     pub fn new(
         fabric: F,
         schedule: Schedule,
@@ -86,42 +88,42 @@
         })
     }
 
-    /// The time: ms since the simulation began.
+    /// The time since the simulation's start (ms).
     pub fn now(&self) -> f64 {
         self.environment.clock.now()
     }
 
-    /// Waits until a time.
+    /// Waits until a time (ms).
     pub async fn until(&self, at: f64) {
         self.environment.clock.until(at).await;
     }
 
-    /// Waits for so long (ms).
+    /// Waits for a duration (ms).
     pub async fn sleep(&self, millis: f64) {
         self.environment.clock.sleep(millis).await;
     }
 
-    /// A time of the scenario as the simulation's.
+    /// Converts a time since the scenario's begin to one since the simulation's start (ms).
     pub fn day_at(&self, at: f64) -> f64 {
         self.environment.clock.day_at(at)
     }
 
-    /// When the scenario began.
+    /// When the scenario began (ms).
     pub fn day_start(&self) -> f64 {
         self.environment.clock.day_start()
     }
 
-    /// A server.
+    /// The server of a number. Panics where there is none.
     pub fn member(&self, number: usize) -> Rc<Member> {
         self.members.get(number)
     }
 
-    /// All servers there have been.
+    /// All servers, including those that have gone.
     pub fn members(&self) -> Vec<Rc<Member>> {
         self.members.all()
     }
 
-    /// Plays the scenario to its end. The error says why it could not begin.
+    /// Plays the scenario to its end. The error is that of the first sidecar that could not be started.
     pub async fn play(self: &Rc<Self>) -> Result<(), String> {
         self.open();
         tokio::task::yield_now().await;
@@ -144,7 +146,7 @@
         Ok(())
     }
 
-    /// Servers and discovery begin to listen.
+    /// Starts the servers and the discovery service.
     fn open(self: &Rc<Self>) {
         self.members().iter().for_each(|member| self.fleet.serve(member));
         for sidecar in 0..self.plan.sidecars.len() {
--- a/crates/emulator/src/simulation/observers.rs
+++ b/crates/emulator/src/simulation/observers.rs
@@ -1,4 +1,4 @@
-//! What is looked at while the scenario is played and at its end: the sidecars' processes, the fleet, the accounting.
+//! Observers of a simulation: checks of the sidecars' processes and counters, and samples of the fleet.
 
 use super::Simulation;
 use crate::accounting::{Rule, TryEnd};
@@ -6,26 +6,26 @@
 use serde::Serialize;
 use std::rc::Rc;
 
-/// How often the sidecars are looked at (ms).
+/// Interval of the checks of the sidecars' processes (ms).
 const LOOK: f64 = 100.0;
 
-/// The fleet in one second.
+/// The state of the fleet in one second.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Sample {
-    /// Second of the scenario.
+    /// The second of the scenario, counted from 0.
     pub second: usize,
-    /// Requests held by each server; negative where it is not in service.
+    /// Requests held by each server; -1 where it is not in service.
     pub held: Vec<f64>,
-    /// Servers turned slow.
+    /// Number of servers degraded by long queues.
     pub slow: usize,
-    /// Capacity in service as a share of the whole fleet's when warm.
+    /// Capacity in service as a share of the warm fleet's.
     pub capacity: f64,
-    /// Cores idle in servers that are in service, as a share of theirs.
+    /// Idle share of the cores of the servers in service.
     pub idle: f64,
 }
 
 impl<F: Fabric> Simulation<F> {
-    /// Looks at the sidecars: whether they run, and what they hold.
+    /// Checks the processes of all sidecars until it is aborted.
     pub(super) async fn watch(self: Rc<Self>) {
         loop {
             self.sleep(LOOK).await;
@@ -35,6 +35,7 @@
         }
     }
 
+    /// Checks that a process runs, and its descriptors and memory against their limits.
     fn look_at(&self, sidecar: usize) {
         let limits = &self.plan.day.limits;
         let (descriptors, memory) = self.sidecars.holds(sidecar);
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Where a sidecar's counters differ from what its clients saw.
+    /// The differences between a sidecar's counters and the request accounting.
     fn counter_faults(&self, sidecar: usize, text: &str) -> Vec<String> {
         let (mut taken, mut served, mut refused) = (0, 0, 0);
         let accounting = self.environment.accounting.borrow();
@@ -119,7 +120,7 @@
     }
 }
 
-/// A counter in a sidecar's text of them; 0 where it is absent or no number.
+/// The value of a counter in a sidecar's counters page; 0 where it is absent or no number.
 fn counter(text: &str, name: &str) -> u64 {
     let line = text.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(' '));
     line.and_then(|v| v.trim().parse().ok()).unwrap_or(0)
--- a/crates/emulator/src/simulation/servers.rs
+++ b/crates/emulator/src/simulation/servers.rs
@@ -1,4 +1,4 @@
-//! Servers that start, drain, go and are replaced, and what the list is told of them.
+//! The life cycle of servers during a simulation, and its announcements to discovery.
 
 use super::Simulation;
 use crate::discovery::ListedStatus;
@@ -10,16 +10,17 @@
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
-/// How long a drained server stays at most (ms).
+/// Least time between the begin of a drain and the end of the process (ms).
 const DRAIN: f64 = 4_000.0;
 
-/// Seed of a server's own chances; `purpose` tells those of the beginning from those added later.
+/// The seed of a server's model; `purpose` separates the first servers from those added later.
 pub(super) fn server_seed(schedule: &Schedule, purpose: u64, number: usize) -> u64 {
     (hashed(schedule.seed, &[purpose, number as u64]) * 1e15) as u64
 }
 
 impl<F: Fabric> Simulation<F> {
-    /// Announces something to the list: it shows there after its delay, and later while the list is stale.
+    /// Announces a server's status to discovery, which applies it after `delay` (ms), and later during a
+    /// fault of stale discovery.
     pub(super) fn announce(self: &Rc<Self>, server: usize, status: ListedStatus, delay: f64) {
         let number = self.discovery.registry.announce(server);
         let simulation = self.clone();
@@ -41,13 +42,13 @@
         });
     }
 
-    /// A server's process starts, cold.
+    /// Starts a new, cold process of a server and announces it.
     pub(super) fn start_server(self: &Rc<Self>, member: &Rc<Member>) {
         member.start(self.now(), self.fleet.next_draw());
         self.announce(member.number, ListedStatus::InService, self.plan.discovery.add);
     }
 
-    /// A server drains and goes.
+    /// Drains a server, then stops it, and announces both.
     pub(super) async fn drain(self: &Rc<Self>, member: &Rc<Member>) {
         member.with(self.now(), |m| m.phase = Phase::Draining);
         self.announce(member.number, ListedStatus::Terminating, self.plan.discovery.notice);
@@ -57,7 +58,7 @@
         self.announce(member.number, ListedStatus::Terminated, self.plan.discovery.notice);
     }
 
-    /// A new server with a new id, at its own address or at that of one that has gone.
+    /// Adds a server with a new id, at an address of its own or at that of one that has gone.
     pub(super) fn add_server(self: &Rc<Self>, zone: usize, place: Option<usize>) {
         let number = self.members.count();
         let plan = self.plan.replacement(number - self.plan.servers.len(), zone);
--- a/crates/emulator/src/simulation/sidecars.rs
+++ b/crates/emulator/src/simulation/sidecars.rs
@@ -1,4 +1,4 @@
-//! The processes of the sidecars: starts, restarts and kills, and the applications beside them.
+//! The life cycle of the sidecars' processes during a simulation.
 
 use super::Simulation;
 use crate::accounting::Rule;
@@ -9,38 +9,38 @@
 use std::time::Duration;
 use tokio::task::{spawn_local, JoinHandle};
 
-/// How long a sidecar may take to become ready (ms).
+/// Time limit for a sidecar to become ready (ms).
 const READY: f64 = 30_000.0;
-/// How long after SIGTERM clients still come (ms).
+/// Time after SIGTERM during which clients still send requests (ms).
 const STILL_COME: f64 = 300.0;
-/// What a kill waits beyond the longest deadline (ms).
+/// Time between the longest request deadline after SIGTERM and SIGKILL (ms).
 const BEFORE_KILL: f64 = 700.0;
 
-/// What a sidecar's process is told.
+/// A signal to a sidecar's process.
 #[derive(Clone, Debug)]
 pub enum Signal {
-    /// To end in order.
+    /// Shut down gracefully.
     Term,
-    /// That its configuration was replaced by this.
+    /// Reload: the configuration was replaced by this one.
     Reload(Value),
-    /// Nothing: it ends at once.
+    /// Exit at once.
     Kill,
 }
 
-/// Who runs the sidecars.
+/// The runner of the sidecars' processes; `number` counts sidecars from 0.
 pub trait Sidecars {
-    /// Starts one from nothing.
+    /// Starts a process with a configuration; the error says why it could not be started.
     fn start(&self, number: usize, config: &Value) -> Result<(), String>;
-    /// Tells one.
+    /// Sends a signal to a process.
     fn signal(&self, number: usize, signal: Signal);
-    /// Whether it has ended.
+    /// Whether a process has exited.
     fn ended(&self, number: usize) -> bool;
-    /// Descriptors that it holds, and its memory (MB), where that can be told.
+    /// The open descriptors of a process and its memory (MB), as far as they are known.
     fn holds(&self, number: usize) -> (Option<usize>, Option<f64>);
 }
 
 impl<F: Fabric> Simulation<F> {
-    /// A call of the emulator's own to a sidecar.
+    /// Sends a GET to a sidecar's own endpoints; `None` where no response came within 2 s.
     pub async fn call(&self, sidecar: usize, path: &str) -> Option<Answer> {
         let asks = async {
             let stream = self.environment.connect(sidecar).await.ok()?;
@@ -52,7 +52,7 @@
         tokio::time::timeout(Duration::from_secs(2), asks).await.ok().flatten()
     }
 
-    /// Starts all sidecars at once and waits until each is ready. The error says why one could not start.
+    /// Starts all sidecars concurrently and waits until each is ready. The error is the runner's.
     pub(super) async fn start_all(self: &Rc<Self>) -> Result<(), String> {
         let starting: Vec<JoinHandle<Result<(), String>>> = (0..self.plan.sidecars.len())
             .map(|sidecar| {
@@ -66,12 +66,13 @@
         Ok(())
     }
 
-    /// From here on a sidecar may end without breaking a rule.
+    /// From here on the exit of a sidecar is no crash.
     pub(super) fn expect_ends(&self) {
         (0..self.plan.sidecars.len()).for_each(|sidecar| self.applications.may_end(sidecar));
     }
 
-    /// Starts a sidecar and waits until it is ready; then its application asks.
+    /// Starts a sidecar and waits until it is ready, which lets its application send requests. The error is
+    /// the runner's; a sidecar that does not become ready in time is a violation.
     pub(super) async fn start(self: &Rc<Self>, sidecar: usize) -> Result<(), String> {
         let starts = self.applications.starts(sidecar);
         let config = self.config(sidecar, starts);
@@ -93,14 +94,14 @@
         Ok(())
     }
 
-    /// Kills a sidecar; its application goes with it.
+    /// Kills a sidecar and its application.
     pub(super) fn kill(&self, sidecar: usize) {
         self.applications.killed(sidecar);
         self.sidecars.signal(sidecar, Signal::Kill);
         self.clients.close(sidecar);
     }
 
-    /// Replaces the configuration of the sidecars that run.
+    /// Reloads the configuration of all running sidecars.
     pub(super) fn reload_sidecars(&self) {
         for sidecar in 0..self.plan.sidecars.len() {
             if self.applications.asks(sidecar) {
@@ -110,7 +111,7 @@
         }
     }
 
-    /// A planned restart.
+    /// Restarts a sidecar gracefully, with SIGTERM and, after the longest deadline, SIGKILL.
     pub(super) async fn restart(self: &Rc<Self>, sidecar: usize) {
         if !self.applications.asks(sidecar) {
             return;
