--- a/crates/emulator/src/accounting.rs
+++ b/crates/emulator/src/accounting/mod.rs
@@ -3,188 +3,18 @@
 //! Nothing here comes from a sidecar's counters. A broken rule becomes a [`Violation`] at the time at which
 //! it is observed. The rules are the platform's, with its limits and tolerances.
 
+mod records;
+
+pub use records::{Attempt, AttemptEnd, Place, Regret, Rule, Try, TryEnd, Violation};
+
 use crate::scenario::{Effect, Group};
 use crate::schedule::Schedule;
 use bytes::Bytes;
-use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use std::fmt;
 
 /// Violations that are kept in full; further ones are only counted.
 const KEPT: usize = 200;
 
-/// A rule of the platform.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, serde::Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Rule {
-    /// Every accepted request gets one whole response.
-    Unanswered,
-    /// The response arrives before the client's timeout.
-    Late,
-    /// The sidecar closed the connection of a request that it had accepted.
-    Lost,
-    /// A served body was produced by a server for this request.
-    WrongBody,
-    /// A malformed request is not served.
-    ServedBad,
-    /// A malformed request gets an error or a close within the time limit.
-    BadUnanswered,
-    /// An unsafe request never runs twice, nor a keyed one where no server would drop the repeat.
-    SecondRun,
-    /// No new attempt goes to a draining server after the drain's grace period.
-    PastDrain,
-    /// No cold server is overloaded until it fails.
-    PushedOver,
-    /// Sidecars send only to servers that discovery has told them of.
-    Unlisted,
-    /// The attempts of one request stay within their limit.
-    Attempts,
-    /// Servers receive only requests that a client has sent.
-    Unknown,
-    /// A sidecar's open descriptors stay within their limit.
-    Descriptors,
-    /// A sidecar's memory stays within its limit.
-    Memory,
-    /// The sidecar's counters agree with the emulator's.
-    Books,
-    /// A sidecar's process never exits unless it is told to.
-    Crash,
-    /// A sidecar becomes ready after its start.
-    NotReady,
-}
-
-impl fmt::Display for Rule {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{self:?}")
-    }
-}
-
-/// A broken rule.
-#[derive(Clone, Debug, Serialize)]
-pub struct Violation {
-    /// When (ms).
-    pub at: f64,
-    /// Which.
-    pub rule: Rule,
-    /// The sidecar that broke it, where it is known.
-    pub sidecar: Option<usize>,
-    /// The request (the number of its arrival), where the rule is about one.
-    pub flow: Option<usize>,
-    /// A description for people.
-    pub what: String,
-}
-
-/// How an attempt ended at its server.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-#[serde(rename_all = "snake_case")]
-pub enum AttemptEnd {
-    /// Not yet.
-    Open,
-    /// Answered whole.
-    Served,
-    /// Answered with an error.
-    Error,
-    /// Turned away: the waiting room is full.
-    Full,
-    /// Turned away: it drains.
-    Draining,
-    /// Turned away: too many connections.
-    Crowded,
-    /// Answered with what can't be read.
-    Spoilt,
-    /// Its sidecar hung up.
-    HungUp,
-    /// Its server went down or was cut off.
-    Cut,
-}
-
-/// One attempt, from its first byte at the server on.
-#[derive(Clone, Debug, Serialize)]
-pub struct Attempt {
-    /// The server's number.
-    pub server: usize,
-    /// When its first byte came (ms).
-    pub came: f64,
-    /// Whether the server took it into work or its waiting room.
-    pub ran: bool,
-    /// Whether an earlier one was still out.
-    pub second_copy: bool,
-    /// When it ended (ms).
-    pub ended: Option<f64>,
-    /// How.
-    pub end: AttemptEnd,
-}
-
-/// How a try ended at its client.
-#[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-#[serde(rename_all = "snake_case")]
-pub enum TryEnd {
-    /// Not yet.
-    Open,
-    /// Served whole.
-    Served,
-    /// Refused, with this advice (ms; 0 for none).
-    Refused(f64),
-    /// Failed, with this status.
-    Failed(u16),
-    /// No connection came up.
-    NoConnection,
-    /// Nothing came in time, or the connection ended.
-    Nothing,
-    /// The sidecar was killed meanwhile.
-    Excused,
-}
-
-/// What the emulator knows of a refusal at its moment.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-#[serde(rename_all = "snake_case")]
-pub enum Regret {
-    /// A server in service had a core free and would have been in time.
-    CoreIdle,
-    /// A server in service would have been in time beside its other work.
-    WouldFit,
-    /// None would have been in time.
-    Full,
-    /// None was in service.
-    Nobody,
-}
-
-/// One try of a flow: a request of its own to the sidecar.
-#[derive(Clone, Debug, Serialize)]
-pub struct Try {
-    /// Its `Request-Id`.
-    pub id: u64,
-    /// The flow: the number of its arrival.
-    pub flow: usize,
-    /// Its number in the flow.
-    pub number: usize,
-    /// When it was written whole (ms); the connection's attempt where that failed.
-    pub sent: f64,
-    /// When its client gives it up (ms).
-    pub until: f64,
-    /// Its attempts.
-    pub attempts: Vec<Attempt>,
-    /// When it ended (ms).
-    pub ended: f64,
-    /// How.
-    pub end: TryEnd,
-    /// Whether a refusal is to be regretted.
-    pub regret: Option<Regret>,
-    /// Whether it was written whole to a sidecar that ran.
-    pub taken: bool,
-    #[serde(skip)]
-    bodies: Vec<Bytes>,
-}
-
-/// The zone and cell of a server, which decide where a repeat of keyed work is dropped.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
-    /// Its zone.
-    pub zone: usize,
-    /// Its cell.
-    pub cell: u64,
-}
-
 /// What became of every request, probe and connection of a simulation.
 #[derive(Debug, Default)]
 pub struct RequestAccounting {
@@ -294,56 +124,38 @@
         came: f64,
         now: f64,
     ) -> Option<(usize, usize)> {
-        let limits = &schedule.day.limits;
         let Some(at) = self.find(id) else {
-            self.record_violation(
-                now,
-                Rule::Unknown,
-                Some(sidecar),
-                None,
-                format!("id {id:016x} at server {server}"),
-            );
+            let what = format!("id {id:016x} at server {server}");
+            self.record_violation(now, Rule::Unknown, Some(sidecar), None, what);
             return None;
         };
         let (flow, number) = (self.tries[at].flow, self.tries[at].attempts.len());
+        let limits = &schedule.day.limits;
         if !self.listed.contains(&(sidecar, place)) {
-            self.record_violation(now, Rule::Unlisted, Some(sidecar), Some(flow), format!("server {server}"));
+            let what = format!("server {server}");
+            self.record_violation(now, Rule::Unlisted, Some(sidecar), Some(flow), what);
         }
-        let told = self.told.get(&(sidecar, server)).copied();
-        let had = self.leaving.get(&server).map(|at| at + limits.told_within_ms);
-        let told = told.into_iter().chain(had).fold(f64::INFINITY, f64::min);
+        let told = self.told_of_leaving(sidecar, server, limits.told_within_ms);
         if came > told + limits.drain_grace_ms + limits.slack_ms {
-            let after = came - told;
-            self.record_violation(
-                now,
-                Rule::PastDrain,
-                Some(sidecar),
-                Some(flow),
-                format!("server {server}, {after:.0} ms after"),
-            );
+            let what = format!("server {server}, {:.0} ms after", came - told);
+            self.record_violation(now, Rule::PastDrain, Some(sidecar), Some(flow), what);
         }
         if number >= limits.max_attempts {
-            self.record_violation(
-                now,
-                Rule::Attempts,
-                Some(sidecar),
-                Some(flow),
-                format!("attempt {}", number + 1),
-            );
+            let what = format!("attempt {}", number + 1);
+            self.record_violation(now, Rule::Attempts, Some(sidecar), Some(flow), what);
         }
-        let one = &mut self.tries[at];
-        let second_copy = one.attempts.iter().any(|a| a.end == AttemptEnd::Open);
-        one.attempts.push(Attempt {
-            server,
-            came,
-            ran: false,
-            second_copy,
-            ended: None,
-            end: AttemptEnd::Open,
-        });
+        self.tries[at].open_attempt(server, came);
         Some((at, number))
     }
 
+    /// When a sidecar knew, at the latest, that a server drains or is gone (ms); infinite where it need not.
+    /// Discovery's word counts as known after `told_within` (ms).
+    fn told_of_leaving(&self, sidecar: usize, server: usize, told_within: f64) -> f64 {
+        let told = self.told.get(&(sidecar, server)).copied();
+        let had = self.leaving.get(&server).map(|at| at + told_within);
+        told.into_iter().chain(had).fold(f64::INFINITY, f64::min)
+    }
+
     /// Records that a server accepted an attempt, which may run from now on. A second run of unsafe work is a
     /// violation; one of keyed work is harmless inside the first run's group and within its time window.
     pub fn ran(&mut self, schedule: &Schedule, now: f64, (at, number): (usize, usize), place: Place) {
