--- a/crates/emulator/src/fleet/connection.rs
+++ b/crates/emulator/src/fleet/connection.rs
@@ -36,8 +36,8 @@
         let mut reachability = member.reachability.subscribe();
         let (crowded, started) = member.with(fleet.environment.clock.now(), |m| {
             m.conns += 1;
-            m.chore(m.plan.handshake.0);
-            (m.conns > m.plan.conns.0, m.started())
+            m.chore(m.plan.handshake.work);
+            (m.conns > m.plan.conns.size, m.started())
         });
         let slot = ConnectionSlot(member.clone(), started);
         *fleet.environment.accounting.borrow_mut().connections.entry(member.number).or_default() += 1;
@@ -68,7 +68,7 @@
     /// Answers requests one after another, until the connection ends.
     async fn converse(&self, wire: &mut Wire<F::Stream>) {
         let clock = &self.environment().clock;
-        let rtts = self.member.model.borrow().plan.handshake.1;
+        let rtts = self.member.model.borrow().plan.handshake.round_trips;
         let mut fresh = true;
         loop {
             if !self.comes(wire).await {
--- a/crates/emulator/src/fleet/mod.rs
+++ b/crates/emulator/src/fleet/mod.rs
@@ -44,10 +44,10 @@
     /// Draws a one-way network delay between a sidecar and a server (ms).
     fn one_way(&self, sidecar: usize, member: &Member) -> f64 {
         let schedule = &self.environment.schedule;
-        let (same, cross, jitter) = schedule.network;
+        let network = schedule.network;
         let near = schedule.sidecars[sidecar].zone == member.model.borrow().plan.zone;
         let draw = hashed(schedule.seed, &[42, self.next_draw()]);
-        (if near { same } else { cross }) * factor(jitter, draw)
+        (if near { network.same_zone } else { network.cross_zone }) * factor(network.jitter, draw)
     }
 
     /// The share of the responses that is corrupted at this time.
--- a/crates/emulator/src/fleet/probes.rs
+++ b/crates/emulator/src/fleet/probes.rs
@@ -3,6 +3,7 @@
 use super::connection::Connection;
 use crate::fabric::Fabric;
 use crate::http::{answer_bytes, Wire};
+use crate::schedule::Probes;
 use crate::server::Job;
 
 impl<F: Fabric> Connection<F> {
@@ -27,13 +28,13 @@
     /// Does the work of a probe; true where the limit of concurrent probes is exceeded.
     async fn work_on_probe(&self) -> bool {
         let (clock, member) = (&self.environment().clock, &self.member);
-        let (work, most, deep) = member.model.borrow().plan.probe;
+        let Probes { work, limit, queued } = member.model.borrow().plan.probe;
         let full = member.with(clock.now(), |m| {
             m.probing += 1;
             m.chore(work);
-            m.probing > most
+            m.probing > limit
         });
-        if deep && !full {
+        if queued && !full {
             let begun = member.begin(clock.now(), |id| Job { id, work, key: None, error: false });
             if let Ok((_, done)) = begun {
                 let _ = done.await;
--- a/crates/emulator/src/schedule/mod.rs
+++ b/crates/emulator/src/schedule/mod.rs
@@ -5,11 +5,15 @@
 
 mod arrivals;
 mod faults;
+mod parameters;
 mod random;
 mod servers;
 
 pub use arrivals::Arrival;
 pub use faults::ScheduledFault;
+pub use parameters::{
+    ConnectionTable, Handshake, KeyCache, Probes, Reporting, ShortPauses, Thrashing, WarmUp,
+};
 pub use random::{factor, hashed, stream, Purpose};
 pub use servers::{Choke, ServerPlan, SidecarPlan};
 
@@ -69,8 +73,8 @@
     pub clients: ClientPlan,
     /// The parameters of discovery.
     pub discovery: DiscoveryPlan,
-    /// One-way delay within a zone and between zones (ms), and its coefficient of variation.
-    pub network: (f64, f64, f64),
+    /// The network.
+    pub network: NetworkPlan,
 }
 
 impl ClientPlan {
@@ -85,8 +89,19 @@
     }
 }
 
+/// The drawn parameters of the network.
+#[derive(Clone, Copy, Debug)]
+pub struct NetworkPlan {
+    /// One-way delay within a zone (ms).
+    pub same_zone: f64,
+    /// One-way delay between zones (ms).
+    pub cross_zone: f64,
+    /// Coefficient of variation of the delays.
+    pub jitter: f64,
+}
+
 /// Draws the parameters of discovery, and those of the network from the same random stream.
-fn discovery_and_network(scenario: &Scenario, seed: u64) -> (DiscoveryPlan, (f64, f64, f64)) {
+fn discovery_and_network(scenario: &Scenario, seed: u64) -> (DiscoveryPlan, NetworkPlan) {
     let mut d = Draws::new(seed, Purpose::Discovery);
     let figures = &scenario.discovery;
     let discovery = DiscoveryPlan {
@@ -96,8 +111,11 @@
         call: 1e3 / d.of(figures.calls_per_s),
         timeout: figures.timeout_ms,
     };
-    let network =
-        (d.of(scenario.network.same_ms), d.of(scenario.network.cross_ms), d.of(scenario.network.jitter));
+    let network = NetworkPlan {
+        same_zone: d.of(scenario.network.same_ms),
+        cross_zone: d.of(scenario.network.cross_ms),
+        jitter: d.of(scenario.network.jitter),
+    };
     (discovery, network)
 }
 
--- a/crates/emulator/src/schedule/servers.rs
+++ b/crates/emulator/src/schedule/servers.rs
@@ -1,5 +1,8 @@
 //! Config servers and sidecars as a draw has them.
 
+use super::parameters::{
+    ConnectionTable, Handshake, KeyCache, Probes, Reporting, ShortPauses, Thrashing, WarmUp,
+};
 use super::random::{factor, spread, Draws, Purpose};
 use crate::scenario::{Cancel, Scenario};
 use rand::Rng;
@@ -25,28 +28,28 @@
     pub slots: usize,
     /// Requests that wait beyond that.
     pub queue: usize,
-    /// Loss of efficiency, and from how many held on.
-    pub thrash: (f64, f64),
-    /// Share of its capacity when it starts, time (ms) and requests until it is warm.
-    pub cold: (f64, f64, f64),
-    /// Time between short pauses and their length (ms).
-    pub pause: (f64, f64),
+    /// Loss of efficiency under many held requests.
+    pub thrash: Thrashing,
+    /// Its warm-up after a start.
+    pub cold: WarmUp,
+    /// Short pauses.
+    pub pause: ShortPauses,
     /// Share of errors.
     pub error_rate: f64,
     /// What a hang-up drops.
     pub cancel: Cancel,
-    /// Connections accepted, and the capacity that a full table takes.
-    pub conns: (usize, f64),
-    /// Work of a handshake (ms) and its round trips.
-    pub handshake: (f64, f64),
+    /// Its connection table.
+    pub conns: ConnectionTable,
+    /// The cost of a new connection.
+    pub handshake: Handshake,
     /// Idle time of a connection (ms).
     pub idle: f64,
-    /// Work of a probe (ms), how many at a time, and whether they queue.
-    pub probe: (f64, usize, bool),
-    /// Period, delay (ms) and noise of the figures in reports.
-    pub report: (f64, f64, f64),
-    /// Work saved by a key met lately, for how long (ms), and how many are remembered.
-    pub keys: (f64, f64, usize),
+    /// The handling of probes.
+    pub probe: Probes,
+    /// Its load reports.
+    pub report: Reporting,
+    /// Its cache of keys.
+    pub keys: KeyCache,
     /// How it turns slow when crowded; `None`: never.
     pub choke: Option<Choke>,
 }
@@ -100,17 +103,36 @@
         speed,
         slots: (d.of(k.slots_per_core) * cores).round() as usize,
         queue: (d.of(k.queue_per_core) * cores).round() as usize,
-        thrash: (d.of(k.thrash), d.of(k.thrash_at)),
-        cold: (d.of(k.cold_from), d.of(k.cold_s) * 1e3, d.of(k.warm_requests)),
-        pause: (d.of(k.pause_every_s) * 1e3, d.of(k.pause_ms)),
+        thrash: Thrashing { loss: d.of(k.thrash), threshold: d.of(k.thrash_at) },
+        cold: WarmUp {
+            initial_share: d.of(k.cold_from),
+            time: d.of(k.cold_s) * 1e3,
+            requests: d.of(k.warm_requests),
+        },
+        pause: ShortPauses { interval: d.of(k.pause_every_s) * 1e3, length: d.of(k.pause_ms) },
         error_rate: d.of(k.error_rate),
         cancel: k.cancel,
-        conns: ((d.of(s.conns_per_core) * cores) as usize, d.of(s.full_tax)),
-        handshake: (d.of(s.handshake_ms), d.of(s.handshake_rtts).round()),
+        conns: ConnectionTable {
+            size: (d.of(s.conns_per_core) * cores) as usize,
+            full_cost: d.of(s.full_tax),
+        },
+        handshake: Handshake { work: d.of(s.handshake_ms), round_trips: d.of(s.handshake_rtts).round() },
         idle: d.of(s.idle_s) * 1e3,
-        probe: (d.of(s.probe_ms), (d.of(s.probes_per_core) * cores).ceil() as usize, s.probe_deep),
-        report: (d.of(s.report_period_ms), d.of(s.report_delay_ms), d.of(s.report_noise)),
-        keys: (d.of(s.key_gain), d.of(s.key_s) * 1e3, (d.of(s.keys_per_core) * cores) as usize),
+        probe: Probes {
+            work: d.of(s.probe_ms),
+            limit: (d.of(s.probes_per_core) * cores).ceil() as usize,
+            queued: s.probe_deep,
+        },
+        report: Reporting {
+            period: d.of(s.report_period_ms),
+            delay: d.of(s.report_delay_ms),
+            noise: d.of(s.report_noise),
+        },
+        keys: KeyCache {
+            saving: d.of(s.key_gain),
+            lifetime: d.of(s.key_s) * 1e3,
+            size: (d.of(s.keys_per_core) * cores) as usize,
+        },
         choke: Some(Choke {
             at: d.of(s.choke_at) * cores,
             over: d.of(s.choke_over_s) * 1e3,
--- a/crates/emulator/src/server/mod.rs
+++ b/crates/emulator/src/server/mod.rs
@@ -83,7 +83,7 @@
 impl Server {
     /// Creates a warm server that has been up for long.
     pub fn new(plan: ServerPlan, seed: u64, mean_work: f64) -> Server {
-        let first = plan.pause.0 * hashed(seed, &[1]);
+        let first = plan.pause.interval * hashed(seed, &[1]);
         Server {
             plan,
             phase: Phase::Up,
@@ -115,7 +115,7 @@
         let plan = self.plan.clone();
         let (seed, slowed, chokes) = (self.seed, self.slowed, self.chokes);
         *self = Server { now, started: Some(now), slowed, chokes, ..Server::new(plan, seed, self.mean_work) };
-        self.next_pause = now + self.plan.pause.0.max(1.0);
+        self.next_pause = now + self.plan.pause.interval.max(1.0);
         self.figures = [(now, Report::default()); 2];
     }
 
@@ -171,8 +171,8 @@
             if self.now >= self.next_pause && self.phase != Phase::Down {
                 // Short pauses, as of a garbage collector; drawn by their number in time.
                 let draw = hashed(self.seed, &[2, self.now as u64]);
-                self.paused_until = self.paused_until.max(self.now + self.plan.pause.1 * (0.5 + draw));
-                self.next_pause = self.paused_until + self.plan.pause.0.max(1.0) * (0.5 + draw);
+                self.paused_until = self.paused_until.max(self.now + self.plan.pause.length * (0.5 + draw));
+                self.next_pause = self.paused_until + self.plan.pause.interval.max(1.0) * (0.5 + draw);
             }
             if step >= now {
                 break;
@@ -230,14 +230,14 @@
 
     /// Work of a job here: less where its key was met lately, which this meeting renews.
     fn work_of(&mut self, job: Job) -> f64 {
-        let (gain, lasts, most) = self.plan.keys;
+        let cache = self.plan.keys;
         let Some(key) = job.key else { return job.work };
-        let met = self.keys.insert(key, self.now).is_some_and(|at| self.now - at <= lasts);
-        if self.keys.len() > most.max(1) {
+        let met = self.keys.insert(key, self.now).is_some_and(|at| self.now - at <= cache.lifetime);
+        if self.keys.len() > cache.size.max(1) {
             let oldest = self.keys.iter().min_by(|a, b| a.1.total_cmp(b.1)).map(|(k, _)| *k);
             oldest.map(|k| self.keys.remove(&k));
         }
-        job.work * if met { 1.0 - gain } else { 1.0 }
+        job.work * if met { 1.0 - cache.saving } else { 1.0 }
     }
 
     /// Cancels a job whose client hung up, as far as this kind of server does; true where it was dropped.
--- a/crates/emulator/src/server/pace.rs
+++ b/crates/emulator/src/server/pace.rs
@@ -2,6 +2,7 @@
 
 use super::crowding::Crowding;
 use super::{Phase, Server};
+use crate::schedule::WarmUp;
 
 /// Tolerance of the overload limit of a cold server, in requests of mean work, so that chance breaks no rule.
 const CHANCE: f64 = 4.0;
@@ -9,11 +10,11 @@
 impl Server {
     /// The share of its capacity that it has while it warms up: linear in time, or faster in served requests.
     pub fn warmth(&self) -> f64 {
-        let (from, time, requests) = self.plan.cold;
+        let WarmUp { initial_share, time, requests } = self.plan.cold;
         let Some(started) = self.started else { return 1.0 };
         let by_time = (self.now - started) / time.max(1.0);
         let by_work = if requests > 0.0 { self.served / requests } else { 0.0 };
-        from + (1.0 - from) * by_time.max(by_work).clamp(0.0, 1.0)
+        initial_share + (1.0 - initial_share) * by_time.max(by_work).clamp(0.0, 1.0)
     }
 
     /// Its capacity when all cores are busy: work (ms of a standard core) in a ms.
@@ -22,13 +23,13 @@
             return 0.0;
         }
         let p = &self.plan;
-        let over = (self.held() as f64 / p.cores / p.thrash.1 - 1.0).max(0.0);
-        let table = (self.conns as f64 / p.conns.0.max(1) as f64).min(1.0) * p.conns.1;
+        let over = (self.held() as f64 / p.cores / p.thrash.threshold - 1.0).max(0.0);
+        let table = (self.conns as f64 / p.conns.size.max(1) as f64).min(1.0) * p.conns.full_cost;
         let slow = match (self.crowding, p.choke) {
             (Crowding::Slow(..), Some(choke)) => choke.slower,
             _ => 1.0,
         };
-        p.cores * p.speed * self.warmth() / (1.0 + p.thrash.0 * over) * (1.0 - table) / slow / self.slowed
+        p.cores * p.speed * self.warmth() / (1.0 + p.thrash.loss * over) * (1.0 - table) / slow / self.slowed
     }
 
     /// How long a job of this work would take if it were the last one to arrive (ms); infinite where it is
--- a/crates/emulator/src/simulation/config.rs
+++ b/crates/emulator/src/simulation/config.rs
@@ -97,7 +97,7 @@
         "must_ask_in": 10_000_000,
         "grace_to_answer": 50_000,
         "fall_multiple": limits.fall_multiple,
-        "cold_from": colds.clone().map(|c| c.0).fold(1.0, f64::min),
-        "warm_up": micros(colds.map(|c| c.1).fold(0.0, f64::max)),
+        "cold_from": colds.clone().map(|c| c.initial_share).fold(1.0, f64::min),
+        "warm_up": micros(colds.map(|c| c.time).fold(0.0, f64::max)),
     })
 }
--- a/crates/emulator/tests/server.rs
+++ b/crates/emulator/tests/server.rs
@@ -1,15 +1,19 @@
 //! The model of one server: sharing, turning away, keys, warmth, crowding, pauses, hang-ups and reports.
 
-use roseproxy_emulator::day::{Cancel, Day};
-use roseproxy_emulator::plan::{Choke, Plan};
+use roseproxy_emulator::scenario::{Cancel, Scenario};
+use roseproxy_emulator::schedule::{
+    Choke, ConnectionTable, KeyCache, Reporting, Schedule, ShortPauses, Thrashing, WarmUp,
+};
 use roseproxy_emulator::server::{Job, Phase, Server, TurnedAway};
 
 fn server() -> Server {
-    let day = Day::read("test", "name = 'test'").expect("a day");
-    let mut plan = Plan::draw(&day, 3).servers[0].clone();
+    let day = Scenario::read("test", "name = 'test'").expect("a day");
+    let mut plan = Schedule::draw(&day, 3).servers[0].clone();
     (plan.cores, plan.speed, plan.slots, plan.queue) = (2.0, 1.0, 4, 6);
-    (plan.thrash, plan.pause, plan.conns) = ((0.0, 10.0), (1e9, 0.0), (100, 0.0));
-    plan.keys = (0.5, 1000.0, 8);
+    plan.thrash = Thrashing { loss: 0.0, threshold: 10.0 };
+    plan.pause = ShortPauses { interval: 1e9, length: 0.0 };
+    plan.conns = ConnectionTable { size: 100, full_cost: 0.0 };
+    plan.keys = KeyCache { saving: 0.5, lifetime: 1000.0, size: 8 };
     plan.choke = None;
     Server::new(plan, 1, 100.0)
 }
@@ -60,7 +64,7 @@
 #[test]
 fn a_started_server_is_cold_and_warms_by_time_or_work() {
     let mut s = server();
-    s.plan.cold = (0.25, 1000.0, 2.0);
+    s.plan.cold = WarmUp { initial_share: 0.25, time: 1000.0, requests: 2.0 };
     s.start(0.0);
     assert_eq!(s.warmth(), 0.25);
     ends(&mut s, 500.0);
@@ -74,7 +78,7 @@
 #[test]
 fn a_cold_server_is_pushed_over_by_more_than_it_can_do() {
     let mut s = server();
-    s.plan.cold = (0.25, 10_000.0, 0.0);
+    s.plan.cold = WarmUp { initial_share: 0.25, time: 10_000.0, requests: 0.0 };
     s.start(0.0);
     // It can do 0.5 a ms: 4 times that over 1500 ms is 3000, and 400 are chance.
     let pushed = (0..40).take_while(|_| !s.push(100.0, 4.0, 1500.0)).count();
@@ -122,7 +126,7 @@
 #[test]
 fn reports_come_late() {
     let mut s = server();
-    s.plan.report = (100.0, 50.0, 0.0);
+    s.plan.report = Reporting { period: 100.0, delay: 50.0, noise: 0.0 };
     (0..3).for_each(|id| s.offer(job(id, 1e6)).expect("room"));
     ends(&mut s, 120.0);
     assert_eq!(s.report(0.5).inflight, 0.0, "seen at 100 or later, told 50 later");
