--- /dev/null
+++ b/crates/emulator/src/discovery/registry.rs
@@ -0,0 +1,112 @@
+//! The registry of servers: entries with revisions, and the order in which announcements take effect.
+
+use crate::fleet::Member;
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use tokio::sync::watch;
+
+/// The status of a server in the registry.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ListedStatus {
+    /// In service.
+    InService,
+    /// Draining: it finishes the requests that it holds.
+    Terminating,
+    /// Gone; appears only in change notifications, never in a whole list.
+    Terminated,
+}
+
+impl ListedStatus {
+    /// Its name on the wire.
+    pub(super) fn word(self) -> &'static str {
+        match self {
+            ListedStatus::InService => "in_service",
+            ListedStatus::Terminating => "terminating",
+            ListedStatus::Terminated => "terminated",
+        }
+    }
+}
+
+/// The entry of one server.
+#[derive(Clone, Debug)]
+pub(super) struct Entry {
+    pub(super) server: usize,
+    pub(super) status: ListedStatus,
+    /// Unix time (ms) of its last start; 0 for long ago.
+    pub(super) up_since: f64,
+    pub(super) revision: u64,
+}
+
+/// The state of the discovery service.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ServiceState {
+    /// Whether it accepts connections.
+    pub runs: bool,
+    /// How often it has moved to another address.
+    pub moves: usize,
+}
+
+/// The list of servers with its revisions.
+#[derive(Debug)]
+pub struct Registry {
+    pub(super) entries: RefCell<BTreeMap<usize, Entry>>,
+    pub(super) revision: watch::Sender<u64>,
+    /// Announcements made so far for each server, and the last one that took effect.
+    order: RefCell<BTreeMap<usize, (u64, u64)>>,
+    /// Whether the service runs, and where.
+    pub state: watch::Sender<ServiceState>,
+}
+
+impl Default for Registry {
+    fn default() -> Self {
+        Registry {
+            entries: RefCell::default(),
+            revision: watch::channel(1).0,
+            order: RefCell::default(),
+            state: watch::channel(ServiceState { runs: true, moves: 0 }).0,
+        }
+    }
+}
+
+impl Registry {
+    /// Lists the servers that a simulation begins with as in service, at revision 1.
+    pub fn begin(&self, members: &[Rc<Member>]) {
+        for member in members {
+            let entry =
+                Entry { server: member.number, status: ListedStatus::InService, up_since: 0.0, revision: 1 };
+            self.entries.borrow_mut().insert(member.number, entry);
+        }
+    }
+
+    /// Counts an announcement of a server's status; the returned number orders it in [`Registry::apply`].
+    pub fn announce(&self, server: usize) -> u64 {
+        let mut order = self.order.borrow_mut();
+        let (made, _) = order.entry(server).or_default();
+        *made += 1;
+        *made
+    }
+
+    /// Applies an announcement, unless a later one of that server has been applied; returns whether it was.
+    /// `up_since` is the Unix time (ms) of the server's start and counts only with
+    /// [`ListedStatus::InService`].
+    pub fn apply(&self, server: usize, number: u64, status: ListedStatus, up_since: f64) -> bool {
+        {
+            let mut order = self.order.borrow_mut();
+            let (_, applied) = order.entry(server).or_default();
+            if *applied >= number {
+                return false;
+            }
+            *applied = number;
+        }
+        let revision = *self.revision.borrow() + 1;
+        let up_since = if status == ListedStatus::InService {
+            up_since
+        } else {
+            self.entries.borrow().get(&server).map_or(0.0, |e| e.up_since)
+        };
+        self.entries.borrow_mut().insert(server, Entry { server, status, up_since, revision });
+        self.revision.send_replace(revision);
+        true
+    }
+}
