--- /dev/null
+++ b/crates/capacity/tests/stand_ins.rs
@@ -0,0 +1,202 @@
+//! The stand-ins, the open-loop load and the bare relay on 127.0.0.0/8, and what is asked of them.
+
+use roseproxy_capacity::decisions::{play, Cell, Options};
+use roseproxy_capacity::discovery::chunk;
+use roseproxy_capacity::experiment::Experiment;
+use roseproxy_capacity::lists::texts;
+use roseproxy_capacity::load::{arrivals, play as send};
+use roseproxy_capacity::messages::endpoint_address;
+use roseproxy_capacity::sidecar::{parse_counters, Process};
+use roseproxy_capacity::standin::{free_port, run_local, whole_list, Plan, StandIns};
+use roseproxy_emulator::http::Wire;
+use roseproxy_platform::discovery::{read, Cutter, Piece};
+use std::net::{Ipv4Addr, SocketAddr};
+use std::process::Command;
+use std::time::Duration;
+use tokio::net::TcpStream;
+
+const PROGRAM: &str = env!("CARGO_BIN_EXE_roseproxy-capacity");
+
+fn stand_ins(listed: usize, served: usize) -> StandIns {
+    StandIns::start(Plan { listed, served, service: Duration::from_millis(2) }).expect("loopback")
+}
+
+async fn get(address: SocketAddr, path: &str) -> (Wire<TcpStream>, Option<Vec<u8>>) {
+    let mut wire = Wire::new(TcpStream::connect(address).await.expect("loopback"));
+    let request = format!("GET {path} HTTP/1.1\r\nhost: test\r\n\r\n");
+    wire.write(request.as_bytes()).await.expect("a request");
+    let answer = wire.answer().await.ok().map(|a| a.body.to_vec());
+    (wire, answer)
+}
+
+/// A sidecar's own reader takes the lists for what they are meant to be.
+#[test]
+fn lists_and_changes_are_read_by_the_platforms_reader() {
+    let (whole, change) = texts(1_000);
+    let whole = read(whole.as_bytes()).expect("a list");
+    assert_eq!((whole.targets.len(), whole.unread), (1_000, 0));
+    let addresses: std::collections::HashSet<_> = whole.targets.iter().map(|t| (t.id, t.address)).collect();
+    assert_eq!(addresses.len(), 1_000, "each endpoint has an id and an address of its own");
+    let change = read(change.as_bytes()).expect("a change");
+    assert_eq!((change.targets.len(), change.revision, change.unread), (1, 2, 0));
+    assert!(whole.targets.contains(&roseproxy_routing::flow::Target {
+        readiness: whole.targets[0].readiness,
+        ..change.targets[0].clone()
+    }));
+}
+
+#[test]
+fn discovery_tells_the_list_and_what_is_published() {
+    let stand_ins = stand_ins(5, 0);
+    let discovery = &stand_ins.discovery;
+    run_local(async {
+        let (_, list) = get(discovery.address, "/registry/instances").await;
+        assert_eq!(list, Some(whole_list(1, 5, stand_ins.port).into_bytes()));
+        // A watch is an answer in chunks, which this reader leaves unread behind its head.
+        let (mut wire, none) = get(discovery.address, "/registry/instances?stream=1&index=1").await;
+        assert_eq!(none, None);
+        while discovery.open_watches() == 0 {
+            tokio::time::sleep(Duration::from_millis(1)).await;
+        }
+        discovery.publish("{\"revision\":9}".into());
+        let mut text = Vec::new();
+        while !text.ends_with(b"{\"revision\":9}\n\r\n") {
+            let read = tokio::io::AsyncReadExt::read_buf(&mut wire.stream, &mut text).await;
+            assert!(read.is_ok_and(|n| n > 0), "the watch ended");
+        }
+    })
+    .expect("a runtime");
+    assert!(discovery.bytes() > 0 && discovery.counts.lists.load(std::sync::atomic::Ordering::Relaxed) == 1);
+}
+
+#[test]
+fn a_heartbeat_is_an_empty_line() {
+    assert_eq!(chunk(""), b"1\r\n\n\r\n");
+    let (mut cutter, mut pieces) = (Cutter::default(), Vec::new());
+    cutter.take(b"\n", |piece| pieces.push(piece));
+    assert_eq!(pieces, [Piece::Beat]);
+}
+
+#[test]
+fn arrivals_are_drawn_by_rate_and_popularity() {
+    let length = Duration::from_secs(20);
+    let all = arrivals(500.0, length, 300, 7).expect("arrivals");
+    assert!((9_500..10_500).contains(&all.len()), "{}", all.len());
+    assert!(all.windows(2).all(|w| w[0].at <= w[1].at) && all.iter().all(|a| a.at < length));
+    let first = all.iter().filter(|a| a.key == Some(1)).count();
+    let last = all.iter().filter(|a| a.key == Some(300)).count();
+    assert!(first > 20 * last.max(1), "{first} for the most popular key, {last} for the least");
+    assert!(arrivals(500.0, length, 0, 7).is_ok_and(|all| all.iter().all(|a| a.key.is_none())));
+    assert!(arrivals(-1.0, length, 0, 7).is_err_and(|e| e.to_string().contains("--rates")));
+}
+
+/// All that was due is sent and answered, directly and over the relay, with no more than was there.
+#[test]
+fn load_counts_what_is_sent_behind_the_warm_up() {
+    let stand_ins = stand_ins(1, 1);
+    let endpoint = endpoint_address(0, stand_ins.port);
+    let listen = SocketAddr::from((Ipv4Addr::LOCALHOST, free_port().expect("a port")));
+    let mut command = Command::new(PROGRAM);
+    command.args(["relay", "--listen", &listen.to_string(), "--to", &endpoint.to_string()]);
+    let relay = Process::start("relay", &mut command, None).expect("the relay");
+    run_local(async {
+        while TcpStream::connect(listen).await.is_err() {
+            relay.usage().expect("the relay runs");
+            tokio::time::sleep(Duration::from_millis(5)).await;
+        }
+    })
+    .expect("a runtime");
+    let warm_up = Duration::from_millis(200);
+    for address in [endpoint, listen] {
+        let due = arrivals(100.0, Duration::from_millis(800), 10, 7).expect("arrivals");
+        let counted = due.iter().filter(|a| a.at >= warm_up).count();
+        let played = send(address, due, warm_up, "test").expect("a play");
+        assert_eq!((played.sent, played.failed, played.samples.len()), (counted, 0, counted));
+        assert_eq!(played.times.quantiles().count as usize, counted);
+    }
+    let nowhere = SocketAddr::from((Ipv4Addr::LOCALHOST, free_port().expect("a port")));
+    let due = arrivals(100.0, Duration::from_millis(100), 0, 7).expect("arrivals");
+    let count = due.len();
+    let played = send(nowhere, due, Duration::ZERO, "test").expect("a play");
+    assert_eq!((played.sent, played.failed), (count, count), "what nobody answers has failed");
+}
+
+#[test]
+fn decisions_are_counted_and_none_is_faster_than_its_own_cost() {
+    let options = Options {
+        endpoints: vec![20],
+        rates: vec![170.0],
+        keys: vec![50],
+        sidecars: 1_000,
+        service_ms: 20.0,
+        seconds: 3,
+        other_us: 50.0,
+        seed: 7,
+    };
+    let done = play(&options, Cell { endpoints: 20, rate: 170.0, keys: 50 }).expect("a cell");
+    assert!((400..620).contains(&done.decision.count), "{}", done.decision.count);
+    assert!(done.answer.count > 0 && done.delay.count == done.answer.count);
+    assert!(done.delay.p50 >= 50.0, "a request takes what it costs outside of the module at least");
+}
+
+#[test]
+fn counters_are_read_and_other_lines_skipped() {
+    let counters = parse_counters("discovery_lists 3\nno number\nflows_taken 17\n\n");
+    assert_eq!(
+        counters.into_iter().collect::<Vec<_>>(),
+        [("discovery_lists".to_owned(), 3.0), ("flows_taken".to_owned(), 17.0)]
+    );
+}
+
+#[test]
+fn bad_arguments_are_named() {
+    let said = |arguments: &[&str]| {
+        let output = Command::new(PROGRAM).args(arguments).output().expect("the program");
+        assert!(!output.status.success(), "{arguments:?}");
+        String::from_utf8_lossy(&output.stderr).into_owned()
+    };
+    assert!(said(&["memory", "--endpoints", "0"]).contains("--endpoints: 0 is not from 1 to 4096"));
+    assert!(said(&["changes", "--list-rate", "1e9"]).contains("--list-rate"));
+    assert!(said(&["latency", "--rounds", "many"]).contains("--rounds"));
+    assert!(said(&["decisions", "--seconds", "0"]).contains("--seconds"));
+    assert!(said(&["memory", "--program", "no/such/program"]).contains("no/such/program"));
+    assert!(said(&["layers", "--latency", "no/such/result"]).contains("no/such/result"));
+    assert!(said(&["attempts", "--failing", "1.5"]).contains("--failing"));
+}
+
+#[test]
+fn a_result_is_written_as_json_and_as_a_table() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let out = folder.path().join("result");
+    let ran = Command::new(PROGRAM)
+        .args(["lists", "--endpoints", "5,10", "--runs", "3", "--out"])
+        .arg(&out)
+        .output()
+        .expect("the program");
+    assert!(ran.status.success(), "{}", String::from_utf8_lossy(&ran.stderr));
+    let json = std::fs::read_to_string(out.join("lists.json")).expect("a result");
+    let json: serde_json::Value = serde_json::from_str(&json).expect("JSON");
+    assert_eq!(json["samples"].as_array().map(Vec::len), Some(2));
+    assert_eq!(json["arguments"]["runs"], 3);
+    let table = std::fs::read_to_string(out.join("lists.md")).expect("a table");
+    assert_eq!(table.lines().filter(|l| l.starts_with("| ")).count(), 4, "{table}");
+}
+
+/// The shipped experiments name measurements and arguments that there are.
+#[test]
+fn shipped_experiments_are_read_and_faulty_ones_refused() {
+    let shipped = concat!(env!("CARGO_MANIFEST_DIR"), "/../../lab/experiments/capacity.toml");
+    let experiment = Experiment::load(shipped.as_ref()).expect("the shipped file");
+    for step in &experiment.steps {
+        let help = Command::new(PROGRAM).arg(&step.arguments[0]).arg("--help").output().expect("the program");
+        let help = String::from_utf8_lossy(&help.stdout).into_owned();
+        let flags = step.arguments.iter().filter(|a| a.starts_with("--"));
+        flags.for_each(|flag| assert!(help.contains(flag.as_str()), "{}: {flag}", step.name));
+    }
+    let folder = tempfile::tempdir().expect("a folder");
+    for text in ["name = \"x\"\nstep = []", "name = \"x\"\nunknown = 1", "no toml"] {
+        let file = folder.path().join("faulty.toml");
+        std::fs::write(&file, text).expect("a file");
+        assert!(Experiment::load(&file).is_err(), "{text}");
+    }
+}
