--- a/crates/capacity/src/decisions.rs
+++ b/crates/capacity/src/decisions.rs
@@ -8,7 +8,7 @@
 use crate::cost::thread_micros;
 use crate::error::{within, Error, Result};
 use crate::fit::{exponent, least_squares};
-use crate::quantiles::{Quantiles, Times};
+use crate::quantiles::{thinned, Quantiles, Times};
 use crate::report::{Report, Table};
 use rand_chacha::rand_core::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -75,6 +75,8 @@
     /// Computed: from a request's arrival to its decision and from its answer to the end of that
     /// event, behind whatever the one thread does first.
     pub delay: Quantiles,
+    /// Points of the delays' distribution, evenly spaced in order (µs).
+    pub distribution: Vec<f64>,
 }
 
 /// An answer that is still to come; the earliest is the greatest.
@@ -154,7 +156,7 @@
     let list = servers(cell.endpoints);
     balancer.handle(0, Event::Servers { update: Update::Complete, servers: &list }, &mut actions);
     let (mut decision, mut answer, mut delay) = (Times::default(), Times::default(), Times::default());
-    let mut waited = std::collections::HashMap::<u64, f64>::new();
+    let (mut waited, mut delays) = (std::collections::HashMap::<u64, f64>::new(), Vec::new());
     let end = WARM_UP + options.seconds as Micros * 1_000_000;
     let (mut now, mut id) = (0.0_f64, 0_u64);
     loop {
@@ -180,6 +182,7 @@
             if let Some(before) = waited.remove(&request).filter(|_| sent > WARM_UP) {
                 answer.add(cost);
                 delay.add(before + wait);
+                delays.push(before + wait);
             }
         }
         if arrival > end {
@@ -209,6 +212,7 @@
         decision: decision.quantiles(),
         answer: answer.quantiles(),
         delay: delay.quantiles(),
+        distribution: thinned(delays),
     })
 }
 
@@ -278,7 +282,7 @@
             "max",
         ],
     );
-    for Outcomes { cell, decision, answer, delay } in outcomes {
+    for Outcomes { cell, decision, answer, delay, .. } in outcomes {
         let figures = [
             decision.p50,
             decision.p99,
--- a/crates/capacity/src/latency.rs
+++ b/crates/capacity/src/latency.rs
@@ -8,11 +8,12 @@
 use crate::fit::median;
 use crate::load::{arrivals, play};
 use crate::messages::{endpoint_address, settings};
-use crate::quantiles::Quantiles;
+use crate::quantiles::{thinned, Quantiles};
 use crate::report::{Report, Table};
 use crate::sidecar::{Folder, Process, Sidecar};
 use crate::standin::{free_port, run_local, Plan, StandIns};
 use serde::Serialize;
+use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 use std::process::Command;
@@ -20,8 +21,6 @@
 
 /// Time for all processes to settle before the first round.
 const SETTLE: Duration = Duration::from_millis(1_000);
-/// Points of a distribution that are kept for later computations.
-const KEPT: usize = 2_000;
 
 /// What to measure.
 #[derive(Clone, Debug, Serialize)]
@@ -107,12 +106,19 @@
     pub wait_us: f64,
     /// Share of attempts that opened a connection; 0 for other ways than a sidecar.
     pub opened: f64,
+    /// Connections to endpoints that a sidecar holds after the turn.
+    pub connections: f64,
+    /// How the sidecar's counters changed in the turn.
+    pub counted: Counters,
     /// Resident memory after the turn (kB).
     pub resident_kb: f64,
     /// Points of the distribution, evenly spaced in order (µs).
     pub distribution: Vec<f64>,
 }
 
+/// Counters of a sidecar by name.
+type Counters = BTreeMap<String, f64>;
+
 /// A way that is running.
 struct Running {
     way: Way,
@@ -129,12 +135,9 @@
         process.map_or(Ok(crate::cost::Usage::default()), Process::usage)
     }
 
-    /// Connections opened and reused so far.
-    fn connections(&self) -> Result<(f64, f64)> {
-        let Some(sidecar) = &self.sidecar else { return Ok((0.0, 0.0)) };
-        let counters = run_local(sidecar.counters())??;
-        let count = |name: &str| counters.get(name).copied().unwrap_or(0.0);
-        Ok((count("targets_connected"), count("targets_reused")))
+    /// The sidecar's counters; none for other ways.
+    fn counters(&self) -> Result<Counters> {
+        self.sidecar.as_ref().map_or(Ok(Counters::new()), |sidecar| run_local(sidecar.counters())?)
     }
 
     fn turn(&self, options: &Options, rate: f64, round: usize) -> Result<Turn> {
@@ -143,10 +146,14 @@
         // The same arrivals for all ways of a round.
         let arrivals = arrivals(rate, length, self.way.keys(), options.seed + round as u64)?;
         let all = arrivals.len().max(1) as f64;
-        let (usage, connections) = (self.usage()?, self.connections()?);
+        let (usage, before) = (self.usage()?, self.counters()?);
         let played = play(self.address, arrivals, warm_up, &format!("{:.0}-{round}", rate))?;
-        let (used, connected) = (self.usage()?.since(&usage), self.connections()?);
-        let (opened, reused) = (connected.0 - connections.0, connected.1 - connections.1);
+        let (used, after) = (self.usage()?.since(&usage), self.counters()?);
+        let counted = |name: &str| {
+            let of = |counters: &Counters| counters.get(name).copied().unwrap_or(0.0);
+            of(&after) - of(&before)
+        };
+        let (opened, reused) = (counted("targets_connected"), counted("targets_reused"));
         Ok(Turn {
             way: self.way,
             rate,
@@ -158,21 +165,14 @@
             cpu_us: used.cpu_us / all,
             wait_us: used.wait_us / all,
             opened: if opened + reused > 0.0 { opened / (opened + reused) } else { 0.0 },
+            connections: after.get("targets_open").copied().unwrap_or(0.0),
+            counted: after.keys().map(|name| (name.clone(), counted(name))).filter(|c| c.1 != 0.0).collect(),
             resident_kb: used.resident_kb,
             distribution: thinned(played.samples),
         })
     }
 }
 
-/// Evenly spaced points of the sorted samples, the greatest among them.
-fn thinned(mut samples: Vec<f64>) -> Vec<f64> {
-    samples.sort_unstable_by(f64::total_cmp);
-    let count = samples.len().min(KEPT);
-    let at = |i: usize| ((i + 1) * samples.len() / count).saturating_sub(1);
-    let tenth = |micros: f64| (micros * 10.0).round() / 10.0;
-    (0..count).map(|i| tenth(samples[at(i)])).collect()
-}
-
 fn start_relay(options: &Options, to: SocketAddr) -> Result<Running> {
     let listen = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), free_port()?);
     let mut command = Command::new(&options.relay);
@@ -265,6 +265,7 @@
             "processor µs a request",
             "waited for a core, µs a request",
             "new connections, %",
+            "open after",
             "failed of sent",
             "resident, kB",
         ],
@@ -292,6 +293,7 @@
             format!("{:.0}", middle(&|t| t.cpu_us)),
             format!("{:.0}", middle(&|t| t.wait_us)),
             format!("{:.0}", middle(&|t| t.opened) * 100.0),
+            format!("{:.0}", middle(&|t| t.connections)),
             format!("{failed} of {sent}"),
             format!("{:.0}", middle(&|t| t.resident_kb)),
         ]);
--- a/crates/capacity/src/layers.rs
+++ b/crates/capacity/src/layers.rs
@@ -16,8 +16,8 @@
 /// What to compute.
 #[derive(Clone, Debug, Serialize)]
 pub struct Options {
-    /// A result of the `latency` measurement.
-    pub latency: PathBuf,
+    /// A result of the `latency` or of the `decisions` measurement.
+    pub result: PathBuf,
     /// Numbers of layers.
     pub depths: Vec<usize>,
     /// Sums that are drawn for each.
@@ -39,10 +39,10 @@
     times
 }
 
-/// One way at one rate, all rounds together.
+/// One way at one rate, all rounds together; or one cell of the decisions.
 struct Measured {
     name: String,
-    /// Times less the middle time of no relay in the same round (µs).
+    /// Times less the middle time of no relay in the same round, or computed delays (µs).
     added: Vec<f64>,
 }
 
@@ -50,7 +50,7 @@
     value.as_array().map_or(Vec::new(), |list| list.iter().filter_map(Value::as_f64).collect())
 }
 
-/// Reads the turns of a latency result and takes off what no relay took.
+/// Reads the distributions of a result and takes off what no relay took, where that was measured.
 fn read(path: &Path) -> Result<Vec<Measured>> {
     let file = |source| Error::File { path: path.to_owned(), source };
     let text = std::fs::read_to_string(path).map_err(file)?;
@@ -63,7 +63,10 @@
             .iter()
             .find(|t| t["way"] == "None" && t["rate"] == turn["rate"] && t["round"] == turn["round"]);
         let base = direct.and_then(|t| t["times"]["p50"].as_f64()).unwrap_or(0.0);
-        let name = format!("{} at {}/s", turn["way"], turn["rate"]);
+        let name = match turn.get("cell") {
+            Some(cell) => cell.to_string(),
+            None => format!("{} at {}/s", turn["way"], turn["rate"]),
+        };
         let added = numbers(&turn["distribution"]).into_iter().map(|t| (t - base).max(0.0));
         match all.iter_mut().find(|m| m.name == name) {
             Some(known) => known.added.extend(added),
@@ -82,7 +85,7 @@
         "Computed: added latency of a chain of calls, layers independent and alike (µs)",
         &["way", "layers", "sum of p50s", "p50", "p99", "p99.9"],
     );
-    for measured in read(&options.latency)? {
+    for measured in read(&options.result)? {
         let one = sums(&measured.added, 1, options.draws, options.seed).quantile(0.5);
         for &depth in &options.depths {
             let sum = sums(&measured.added, depth, options.draws, options.seed);
--- a/crates/capacity/src/main.rs
+++ b/crates/capacity/src/main.rs
@@ -191,9 +191,9 @@
 
 #[derive(Args)]
 struct LayerArguments {
-    /// The JSON result of `latency`
+    /// The JSON result of `latency` or of `decisions`
     #[arg(long)]
-    latency: PathBuf,
+    result: PathBuf,
     /// Numbers of layers
     #[arg(long, value_delimiter = ',', default_value = "1,11")]
     depths: Vec<usize>,
@@ -269,7 +269,7 @@
             sidecars: a.program.sidecars,
         }),
         Command::Layers(a) => layers::measure(&layers::Options {
-            latency: a.latency,
+            result: a.result,
             depths: a.depths,
             draws: a.draws,
             seed: a.seed,
--- a/crates/capacity/src/quantiles.rs
+++ b/crates/capacity/src/quantiles.rs
@@ -7,6 +7,8 @@
 const LONGEST_NS: u64 = 100_000_000_000;
 /// Significant decimal digits kept of each time.
 const DIGITS: u8 = 3;
+/// Points of a distribution that are kept for later computations.
+const KEPT: usize = 2_000;
 
 /// Times, collected in a histogram of high dynamic range.
 #[derive(Clone, Debug)]
@@ -61,3 +63,12 @@
         }
     }
 }
+
+/// Evenly spaced points of the sorted samples, the greatest among them.
+pub fn thinned(mut samples: Vec<f64>) -> Vec<f64> {
+    samples.sort_unstable_by(f64::total_cmp);
+    let count = samples.len().min(KEPT);
+    let at = |i: usize| ((i + 1) * samples.len() / count).saturating_sub(1);
+    let tenth = |micros: f64| (micros * 10.0).round() / 10.0;
+    (0..count).map(|i| tenth(samples[at(i)])).collect()
+}
--- a/crates/capacity/tests/stand_ins.rs
+++ b/crates/capacity/tests/stand_ins.rs
@@ -160,7 +160,7 @@
     assert!(said(&["latency", "--rounds", "many"]).contains("--rounds"));
     assert!(said(&["decisions", "--seconds", "0"]).contains("--seconds"));
     assert!(said(&["memory", "--program", "no/such/program"]).contains("no/such/program"));
-    assert!(said(&["layers", "--latency", "no/such/result"]).contains("no/such/result"));
+    assert!(said(&["layers", "--result", "no/such/result"]).contains("no/such/result"));
     assert!(said(&["attempts", "--failing", "1.5"]).contains("--failing"));
 }
 
