--- a/crates/roseproxy/tests/common/mod.rs
+++ b/crates/roseproxy/tests/common/mod.rs
@@ -1,6 +1,9 @@
 //! What the tests on loopback sockets share: a sidecar, its configuration, and plain messages.
 #![allow(dead_code)] // each test program uses a part of it
 
+pub mod gated;
+pub mod registry;
+
 use roseproxy::{config::Config, Clock};
 use roseproxy_decision::interface::Update;
 use roseproxy_platform::discovery;
@@ -14,10 +17,11 @@
 use roseproxy_transport::Gateway;
 use serde_json::{json, Value};
 use std::future::Future;
+use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 use tokio::task::spawn_local;
@@ -107,12 +111,7 @@
     clients: usize,
     descriptors: usize,
 ) -> Sidecar<N> {
-    let classes = Classes::new(config.dialect, config.settings.classes.clone());
-    let gateway = Gateway::new(network, host, classes, Budget::new(descriptors), clock.reader());
-    let group: Vec<_> = targets.iter().map(|t| (*t, "in_service")).collect();
-    let known = discovery::read(list(1, true, &group).as_bytes()).expect("a list");
-    gateway.targets(Update::Complete, &known.targets);
-    spawn_local(gateway.clone().run_timers());
+    let gateway = gateway_of(network, host, config, &clock, targets, descriptors);
     let socket = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = socket.local_addr().expect("bound");
     let listener = Listener::new(gateway.clone(), Budget::new(clients), Rc::new(|| "flows 0\n".into()));
@@ -120,9 +119,32 @@
     Sidecar { gateway, listener, address }
 }
 
+/// A gateway whose host knows these endpoints, at revision 1 of the list; no client can connect to it.
+pub fn gateway_of<N: Network>(
+    network: N,
+    host: Host,
+    config: Config,
+    clock: &Clock,
+    endpoints: &[SocketAddr],
+    descriptors: usize,
+) -> Rc<Gateway<N>> {
+    let classes = Classes::new(config.dialect, config.settings.classes.clone());
+    let gateway = Gateway::new(network, host, classes, Budget::new(descriptors), clock.reader());
+    let in_service: Vec<_> = endpoints.iter().map(|e| (*e, "in_service")).collect();
+    let known = discovery::read(list(1, true, &in_service).as_bytes()).expect("a list");
+    gateway.targets(Update::Complete, &known.targets);
+    spawn_local(gateway.clone().run_timers());
+    gateway
+}
+
 /// Has a sidecar, which knows the list of this version, watch discovery at this address.
 pub fn watching<N: Network>(sidecar: &Sidecar<N>, address: SocketAddr, known: Option<u64>) {
-    spawn_local(Watcher::new(sidecar.gateway.clone(), watch::channel(address).1, known).run());
+    watching_by(&sidecar.gateway, address, known);
+}
+
+/// The same for a gateway alone.
+pub fn watching_by<N: Network>(gateway: &Rc<Gateway<N>>, address: SocketAddr, known: Option<u64>) {
+    spawn_local(Watcher::new(gateway.clone(), watch::channel(address).1, known).run());
 }
 
 pub async fn port() -> (TcpListener, SocketAddr) {
@@ -132,7 +154,7 @@
 }
 
 /// Reads one message: its head, and as much body as its length says.
-pub async fn message(stream: &mut TcpStream) -> Option<String> {
+pub async fn message<S: AsyncRead + Unpin>(stream: &mut S) -> Option<String> {
     let mut text = Vec::new();
     loop {
         let so_far = String::from_utf8_lossy(&text).into_owned();
@@ -197,3 +219,50 @@
     until("connections are kept", || of(&sidecar.gateway, "targets_idle") == kept).await;
     clock.set(clock.now() + REST);
 }
+
+/// Lets whatever is ready run.
+pub async fn turns() {
+    for _ in 0..50 {
+        tokio::task::yield_now().await;
+    }
+}
+
+pub fn reset(client: TcpStream) {
+    // A linger of 0 makes the close a reset.
+    socket2::SockRef::from(&client).set_linger(Some(Duration::ZERO)).expect("set");
+}
+
+/// A client that has connected and asked.
+pub async fn asks(address: SocketAddr, text: &str) -> TcpStream {
+    let mut client = TcpStream::connect(address).await.expect("connects");
+    client.write_all(text.as_bytes()).await.expect("written");
+    client
+}
+
+/// Has another client ask, with the id `stays`; returns the first request that the target hears of.
+pub async fn first_heard<N: Network>(sidecar: &Sidecar<N>, target: TcpListener, class: &str) -> String {
+    let served = spawn_local(serve(target, 1));
+    let mut other = TcpStream::connect(sidecar.address).await.expect("connects");
+    let body = if class == "quote" { "" } else { "b" };
+    ask(&mut other, &request(class, "stays", body)).await;
+    served.await.expect("no panic").remove(0)
+}
+
+pub fn pushed() -> Config {
+    config_with(|s| s["discovery"] = json!("pushed"))
+}
+
+pub async fn open_watch(socket: &TcpListener) -> TcpStream {
+    let (mut stream, _) = socket.accept().await.expect("the sidecar connects");
+    let watch = message(&mut stream).await.expect("a request");
+    assert!(watch.contains("stream=1"), "{watch}");
+    stream
+        .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        .await
+        .expect("the sidecar reads");
+    stream
+}
+
+pub async fn chunk<S: AsyncWrite + Unpin>(stream: &mut S, text: &str) -> io::Result<()> {
+    stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).await
+}
--- a/crates/roseproxy/tests/crossings.rs
+++ b/crates/roseproxy/tests/crossings.rs
@@ -3,6 +3,7 @@
 
 mod common;
 
+use common::gated::Gated;
 use common::*;
 use roseproxy::signals::Asked;
 use roseproxy::start::{serve as run, Surroundings};
@@ -11,139 +12,21 @@
 use roseproxy_routing::decide::Decider;
 use roseproxy_routing::Host;
 use roseproxy_transport::listener::Phase;
-use roseproxy_transport::network::{Network, Quiet, Tcp};
+use roseproxy_transport::network::Tcp;
 use serde_json::json;
-use std::cell::{Cell, RefCell};
-use std::io::{self, ErrorKind};
+use std::cell::Cell;
+use std::io::ErrorKind;
 use std::net::SocketAddr;
-use std::pin::Pin;
 use std::rc::Rc;
-use std::task::{Context, Poll, Waker};
+use std::task::Poll;
 use std::time::Duration;
-use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, ReadBuf};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::task::spawn_local;
 
 const READY: &str = "GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n";
 
-/// Holds back what comes to it while it is shut.
-#[derive(Default)]
-struct Gate {
-    shut: Cell<bool>,
-    waiting: RefCell<Vec<Waker>>,
-}
-
-impl Gate {
-    fn shut(&self) {
-        self.shut.set(true);
-    }
-
-    fn open(&self) {
-        self.shut.set(false);
-        self.waiting.take().into_iter().for_each(Waker::wake);
-    }
-
-    fn poll(&self, cx: &mut Context<'_>) -> Poll<()> {
-        if self.shut.get() {
-            self.waiting.borrow_mut().push(cx.waker().clone());
-            return Poll::Pending;
-        }
-        Poll::Ready(())
-    }
-}
-
-/// The system's sockets, with gates before what is opened, before what clients' streams bring in and take, and before what
-/// targets' streams take.
-#[derive(Clone, Default)]
-struct Gated {
-    connects: Rc<Gate>,
-    reads: Rc<Gate>,
-    answers: Rc<Gate>,
-    sends: Rc<Gate>,
-}
-
-struct Held<S> {
-    stream: S,
-    reads: Rc<Gate>,
-    writes: Rc<Gate>,
-}
-
-impl Network for Gated {
-    type Listener = TcpListener;
-    type Accepted = Held<<Tcp as Network>::Accepted>;
-    type Opened = Held<<Tcp as Network>::Opened>;
-
-    async fn listen(&self, address: SocketAddr) -> io::Result<TcpListener> {
-        Tcp.listen(address).await
-    }
-
-    async fn accept(&self, listener: &TcpListener) -> io::Result<(Self::Accepted, Quiet)> {
-        let (stream, quiet) = Tcp.accept(listener).await?;
-        Ok((Held { stream, reads: self.reads.clone(), writes: self.answers.clone() }, quiet))
-    }
-
-    async fn connect(&self, address: SocketAddr) -> io::Result<(Self::Opened, Quiet)> {
-        std::future::poll_fn(|cx| self.connects.poll(cx)).await;
-        let (stream, quiet) = Tcp.connect(address).await?;
-        Ok((Held { stream, reads: Rc::default(), writes: self.sends.clone() }, quiet))
-    }
-}
-
-impl<S: AsyncRead + Unpin> AsyncRead for Held<S> {
-    fn poll_read(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        buf: &mut ReadBuf<'_>,
-    ) -> Poll<io::Result<()>> {
-        std::task::ready!(self.reads.poll(cx));
-        Pin::new(&mut self.stream).poll_read(cx, buf)
-    }
-}
-
-impl<S: AsyncWrite + Unpin> AsyncWrite for Held<S> {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        std::task::ready!(self.writes.poll(cx));
-        Pin::new(&mut self.stream).poll_write(cx, buf)
-    }
-
-    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.stream).poll_flush(cx)
-    }
-
-    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.stream).poll_shutdown(cx)
-    }
-}
-
-/// Lets whatever is ready run.
-async fn turns() {
-    for _ in 0..50 {
-        tokio::task::yield_now().await;
-    }
-}
-
-fn reset(client: TcpStream) {
-    // A linger of 0 makes the close a reset.
-    socket2::SockRef::from(&client).set_linger(Some(Duration::ZERO)).expect("set");
-}
-
-/// A client that has connected and asked.
-async fn asks(address: SocketAddr, text: &str) -> TcpStream {
-    let mut client = TcpStream::connect(address).await.expect("connects");
-    client.write_all(text.as_bytes()).await.expect("written");
-    client
-}
-
-/// Has another client ask, with the id `stays`; returns the first request that the target hears of.
-async fn first_heard<N: Network>(sidecar: &Sidecar<N>, target: TcpListener, class: &str) -> String {
-    let served = spawn_local(serve(target, 1));
-    let mut other = TcpStream::connect(sidecar.address).await.expect("connects");
-    let body = if class == "quote" { "" } else { "b" };
-    ask(&mut other, &request(class, "stays", body)).await;
-    served.await.expect("no panic").remove(0)
-}
-
 // ---- the client leaves
 
 /// What a client leaves behind that has gone while its request waited for a connection: nothing is written for it,
@@ -473,10 +356,6 @@
 
 // ---- lists and watches
 
-fn pushed() -> Config {
-    config_with(|s| s["discovery"] = json!("pushed"))
-}
-
 /// Where lists are pushed the module asks for none, and what discovery has counts as told all the same.
 #[test]
 fn a_pushed_list_is_watched_from_the_start_and_again_after_each_end() {
@@ -492,21 +371,6 @@
     });
 }
 
-async fn open_watch(socket: &TcpListener) -> TcpStream {
-    let (mut stream, _) = socket.accept().await.expect("the sidecar connects");
-    let watch = message(&mut stream).await.expect("a request");
-    assert!(watch.contains("stream=1"), "{watch}");
-    stream
-        .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        .await
-        .expect("the sidecar reads");
-    stream
-}
-
-async fn chunk(stream: &mut TcpStream, text: &str) -> io::Result<()> {
-    stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).await
-}
-
 /// Lists may come indented, over several lines.
 #[test]
 fn an_indented_list_is_taken_from_a_watch() {
