--- a/crates/roseproxy/tests/common/registry.rs
+++ b/crates/roseproxy/tests/common/registry.rs
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 
 /// How often an idle watch sends its heartbeat, an empty line.
-const HEARTBEAT: Duration = Duration::from_secs(2);
+pub const HEARTBEAT: Duration = Duration::from_secs(2);
 /// Bytes that a pipe in memory holds.
 const PIPE: usize = 16 * 1024;
 
