--- a/crates/capacity/src/decisions.rs
+++ b/crates/capacity/src/decisions.rs
@@ -221,7 +221,7 @@
 pub fn homes(endpoints: usize, keys: usize, sidecars: usize, runs: usize) -> (f64, f64) {
     let list = servers(endpoints);
     let mut places: Vec<Place> =
-        list.iter().map(|s| Place { id: s.id.0, weight: 1.0, capacity: 1.0 }).collect();
+        list.iter().map(|s| Place { id: s.id.0, weight: 1.0, capacity: 1.0, most: f64::INFINITY }).collect();
     places.sort_unstable_by_key(|p| p.id);
     let fleet = Fleet { places: &places, sight: roseproxy_fleet::sight(sidecars), bound: 2.0 };
     let (mut filled, mut drawn) = (Vec::new(), Vec::new());
--- a/crates/decision/src/policy.rs
+++ b/crates/decision/src/policy.rs
@@ -246,14 +246,17 @@
     /// work for it.
     fn home_of(&mut self, key: Option<u64>) -> Option<usize> {
         let key = key.filter(|_| self.settings.warm_keys)?;
+        // Half of what may come to a cold server: the rest is for bursts, repeats and probes.
+        let bound = (self.settings.fall_multiple / 2.0).max(1.0);
+        let speeds: f64 = self.backends.iter().filter(|b| b.ready()).map(|b| b.speed).sum();
         let place = |s: usize| {
-            let b = &self.backends[s];
-            Place { id: b.info.id.0, weight: b.info.power * self.warmth(s), capacity: b.capacity }
+            let (b, warmth) = (&self.backends[s], self.warmth(s));
+            // What warm servers lose for a moment, slow or set aside, is not a cold one's to take over.
+            let most = if warmth < 1.0 { bound * b.speed / speeds } else { f64::INFINITY };
+            Place { id: b.info.id.0, weight: b.info.power * warmth, capacity: b.capacity, most }
         };
         let mut places: Vec<Place> = self.usable().map(place).collect();
         places.sort_unstable_by_key(|p| p.id);
-        // Half of what may come to a cold server: the rest is for bursts, repeats and probes.
-        let bound = (self.settings.fall_multiple / 2.0).max(1.0);
         let fleet = Fleet { places: &places, sight: self.sight(), bound };
         let draw = if fleet.sight < 1.0 { self.uniform() } else { 0.0 };
         let home = self.homes.home(key, fleet, self.now, draw)?;
@@ -286,8 +289,11 @@
             total += if b.ready() { b.speed } else { 0.0 };
             vessels.push(Vessel { load, capacity, cap });
         }
-        // When all are suspect, better a suspect server than none. Gone and draining ones stay out.
-        let none = vessels.iter().all(|v| v.cap == 0.0);
+        // When all are suspect, better a suspect server than none, and better warm suspects than cold ones
+        // alone, which would fall over. Gone and draining ones stay out.
+        let warm = |s: &usize| self.backends[*s].ready() && self.warmth(*s) >= 1.0;
+        let some_warm = set.iter().any(warm);
+        let none = vessels.iter().zip(set).all(|(v, s)| v.cap == 0.0 || (some_warm && !warm(s)));
         for (v, &slot) in vessels.iter_mut().zip(set) {
             if none {
                 v.cap = f64::from(u8::from(self.backends[slot].ready()));
--- a/crates/fleet/src/homes.rs
+++ b/crates/fleet/src/homes.rs
@@ -34,6 +34,16 @@
     pub weight: f64,
     /// What it can do, compared with the others.
     pub capacity: f64,
+    /// The part of all requests that it may get at most, over all its keys: a bound for a server that is cold,
+    /// whatever the others can do at the moment.
+    pub most: f64,
+}
+
+impl Place {
+    /// Whether it may get a part of the requests at most, as it is cold.
+    fn is_bounded(&self) -> bool {
+        self.most.is_finite()
+    }
 }
 
 /// What homes are chosen by beside the key.
@@ -83,23 +93,38 @@
             self.settle(fleet);
             self.settled_at = Some(now);
         }
-        let there = |p: &Place| fleet.places.binary_search_by_key(&p.id, |p| p.id).is_ok();
-        let (mut parts, mut left) = (Vec::new(), 0.0);
-        if let Some(filled) = self.filled.get(&key) {
-            parts.extend(filled.homes.iter().filter(|(p, _)| there(p)));
-            left = filled.left;
-        }
-        if parts.is_empty() {
-            // Not met before, or all its homes have left since.
-            parts.extend(self.ranked(key, fleet).into_iter().map(|p| (p, p.capacity)));
-            left = 0.0;
-        }
+        let (parts, left) = self.parts(key, fleet);
         let shares = || parts.iter().map(|(_, part)| *part).chain([left]);
         // Where its part is in homes that have left, a full one is better than none.
         let drawn = pick(shares(), draw * shares().sum::<f64>()).map_or(parts.last(), |i| parts.get(i));
         drawn.map(|(p, _)| p.id)
     }
 
+    /// The key's homes with their parts, and the part that is for none of them.
+    fn parts(&self, key: u64, fleet: Fleet) -> (Vec<(Place, f64)>, f64) {
+        let present = |p: &Place| fleet.places.binary_search_by_key(&p.id, |p| p.id).is_ok();
+        if let Some(filled) = self.filled.get(&key) {
+            let (homes, departed): (Vec<_>, Vec<_>) = filled.homes.iter().partition(|(p, _)| present(p));
+            if !homes.is_empty() {
+                // What the departed had is not for cold servers to take over.
+                let some_cold = homes.iter().any(|(p, _): &(Place, f64)| p.is_bounded());
+                let orphaned = departed.iter().map(|(_, part)| part).sum::<f64>();
+                return (homes, filled.left + if some_cold { orphaned } else { 0.0 });
+            }
+        }
+        // Not met before, or all its homes have left since.
+        let homes = self.ranked(key, fleet);
+        // Each server is a home of that many keys like this one, compared with its share of the keys.
+        let spread = fleet.places.len() as f64 / homes.len().max(1) as f64;
+        let capacity = homes.iter().map(|p| p.capacity).sum::<f64>().max(1e-9);
+        let part = |p: &Place| (p.capacity / capacity).min(p.most * spread);
+        let parts: Vec<(Place, f64)> = homes.iter().map(|p| (*p, part(p))).collect();
+        // What is more than cold ones may get goes to the warm homes, where there are any.
+        let over = 1.0 - parts.iter().map(|(_, part)| part).sum::<f64>();
+        let some_warm = homes.iter().any(|p| !p.is_bounded());
+        (parts, if some_warm { 0.0 } else { over.max(0.0) })
+    }
+
     /// The servers that the key suits best, as many as its homes.
     fn ranked(&self, key: u64, fleet: Fleet) -> Vec<Place> {
         let count = homes(self.share(key), fleet.places.len(), fleet.sight);
@@ -147,7 +172,8 @@
     left: f64,
 }
 
-/// Fills a key's share into its homes up to one level of load for each unit of capacity, and to `most`.
+/// Fills a key's share into its homes up to one level of load for each unit of capacity, to `most` of it, and to what
+/// each of them may get.
 fn level(homes: &mut [(Place, f64)], share: f64, loads: &HashMap<u64, f64>, most: f64) {
     let load = |p: &Place| loads.get(&p.id).copied().unwrap_or(0.0);
     let full = |p: &Place| load(p) / p.capacity.max(1e-9);
@@ -161,7 +187,10 @@
         level = sum / capacity;
     }
     let level = level.min(most);
-    homes.iter_mut().for_each(|(p, part)| *part = (level * p.capacity.max(1e-9) - load(p)).max(0.0));
+    for (place, part) in homes.iter_mut() {
+        let filled = (level * place.capacity.max(1e-9)).min(place.most);
+        *part = (filled - load(place)).max(0.0);
+    }
 }
 
 /// Homes that a key with this share of the requests has among so many servers; one in a fleet so small
@@ -188,7 +217,12 @@
     fn places(count: u64) -> Vec<Place> {
         // Two kinds, one of them half as fast, which the list does not tell.
         (1..=count)
-            .map(|id| Place { id, weight: 2.0, capacity: if id % 3 == 0 { 2.0 } else { 4.0 } })
+            .map(|id| Place {
+                id,
+                weight: 2.0,
+                capacity: if id % 3 == 0 { 2.0 } else { 4.0 },
+                most: f64::INFINITY,
+            })
             .collect()
     }
 
