--- a/crates/capacity/tests/stand_ins.rs
+++ b/crates/capacity/tests/stand_ins.rs
@@ -9,7 +9,7 @@
 use roseproxy_capacity::sidecar::{parse_counters, Process};
 use roseproxy_capacity::standin::{free_port, run_local, whole_list, Plan, StandIns};
 use roseproxy_emulator::http::Wire;
-use roseproxy_platform::discovery::{read, Cutter, Piece};
+use roseproxy_platform::discovery::{read, WatchDecoder, WatchFrame};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::process::Command;
 use std::time::Duration;
@@ -72,9 +72,9 @@
 #[test]
 fn a_heartbeat_is_an_empty_line() {
     assert_eq!(chunk(""), b"1\r\n\n\r\n");
-    let (mut cutter, mut pieces) = (Cutter::default(), Vec::new());
-    cutter.take(b"\n", |piece| pieces.push(piece));
-    assert_eq!(pieces, [Piece::Beat]);
+    let (mut decoder, mut frames) = (WatchDecoder::default(), Vec::new());
+    decoder.take(b"\n", |frame| frames.push(frame));
+    assert_eq!(frames, [WatchFrame::Heartbeat]);
 }
 
 #[test]
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -29,9 +29,9 @@
     pub unread: usize,
 }
 
-/// Cuts what comes on a watch into objects: one a line, or indented over several.
+/// Decodes the bytes of a watch into frames: objects that take one line, or are indented over several.
 #[derive(Debug, Default)]
-pub struct Cutter {
+pub struct WatchDecoder {
     /// What came of the line that is coming in.
     line: Vec<u8>,
     /// Lines of an object that is not whole yet.
@@ -40,46 +40,46 @@
     open: i64,
 }
 
-/// What a watch has sent.
+/// One frame of a watch.
 #[derive(Debug, PartialEq)]
-pub enum Piece {
+pub enum WatchFrame {
     /// An empty line: nothing has changed.
-    Beat,
+    Heartbeat,
     /// A line of an object that goes on.
-    Part,
+    Partial,
     /// What should be an object.
     Object(Vec<u8>),
 }
 
-impl Cutter {
+impl WatchDecoder {
     /// Takes what came, and hands out each line's meaning once the line has ended.
-    pub fn take(&mut self, text: &[u8], mut piece: impl FnMut(Piece)) {
+    pub fn take(&mut self, text: &[u8], mut frame: impl FnMut(WatchFrame)) {
         for part in text.split_inclusive(|b| *b == b'\n') {
             self.line.extend_from_slice(part);
             if part.ends_with(b"\n") {
                 let line = std::mem::take(&mut self.line);
-                self.end_line(line.trim_ascii(), &mut piece);
+                self.end_line(line.trim_ascii(), &mut frame);
             }
         }
     }
 
-    fn end_line(&mut self, line: &[u8], piece: &mut impl FnMut(Piece)) {
+    fn end_line(&mut self, line: &[u8], frame: &mut impl FnMut(WatchFrame)) {
         if line.is_empty() {
-            return piece(if self.object.is_empty() { Piece::Beat } else { Piece::Part });
+            return frame(if self.object.is_empty() { WatchFrame::Heartbeat } else { WatchFrame::Partial });
         }
         let opened = brackets(line);
         // A whole list on a line of its own, behind one that was cut short: the latter's end will not come.
         if !self.object.is_empty() && opened == 0 && line.starts_with(b"{") && read(line).is_ok() {
-            piece(Piece::Object(std::mem::take(&mut self.object)));
+            frame(WatchFrame::Object(std::mem::take(&mut self.object)));
             self.open = 0;
         }
         self.open += opened;
         self.object.extend_from_slice(line);
         if self.open > 0 && self.object.starts_with(b"{") {
-            return piece(Piece::Part);
+            return frame(WatchFrame::Partial);
         }
         self.open = 0;
-        piece(Piece::Object(std::mem::take(&mut self.object)));
+        frame(WatchFrame::Object(std::mem::take(&mut self.object)));
     }
 
     /// Bytes held of what has not ended.
--- a/crates/transport/src/discovery.rs
+++ b/crates/transport/src/discovery.rs
@@ -6,7 +6,7 @@
 use crate::connection::Exchange;
 use http_body_util::BodyExt;
 use hyper::StatusCode;
-use roseproxy_platform::discovery::{self, Cutter, Listing, Piece};
+use roseproxy_platform::discovery::{self, Listing, WatchDecoder, WatchFrame};
 use roseproxy_platform::request::Outgoing;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -105,7 +105,7 @@
             }
             return None;
         }
-        let (mut body, mut cutter) = (answer.into_body(), Cutter::default());
+        let (mut body, mut decoder) = (answer.into_body(), WatchDecoder::default());
         // Half a line, or an object whose end does not come, is no sign of life.
         let mut alive = self.gateway.now();
         loop {
@@ -115,15 +115,15 @@
             };
             let frame = frame?.ok()?;
             let Ok(data) = frame.into_data() else { continue };
-            cutter.take(&data, |piece| {
-                match piece {
-                    Piece::Part => return,
-                    Piece::Beat => {}
-                    Piece::Object(text) => self.take(&text),
+            decoder.take(&data, |frame| {
+                match frame {
+                    WatchFrame::Partial => return,
+                    WatchFrame::Heartbeat => {}
+                    WatchFrame::Object(text) => self.take(&text),
                 }
                 alive = self.gateway.now();
             });
-            if cutter.held() > LONGEST_LIST {
+            if decoder.held() > LONGEST_LIST {
                 count(&self.gateway.traffic.bad_lists);
                 return None;
             }
