--- a/crates/fleet/tests/calls.rs
+++ b/crates/fleet/tests/calls.rs
@@ -113,6 +113,20 @@
     }
 }
 
+/// Calls that were all out for longer than the period have lost their turns: the next ones are spread anew.
+#[test]
+fn calls_that_were_out_for_longer_than_the_period_are_spread_anew() {
+    let next_wait = |seed| {
+        let mut caller = Caller::watching(1_000, seed);
+        let wait = caller.watch_ends();
+        caller.call_fails(wait, PERIOD + SECOND)
+    };
+    let waits: Vec<i64> = (0..200).map(next_wait).collect();
+    assert!(waits.iter().all(|wait| (0..=PERIOD).contains(wait)), "{waits:?}");
+    let early = waits.iter().filter(|wait| **wait < PERIOD / 2).count();
+    assert!((70..=130).contains(&early), "{early} of 200 are due in the first half of the period");
+}
+
 /// A slow failure must not lengthen a small fleet's pause past the term either.
 #[test]
 fn a_small_fleet_calls_again_within_the_period_too() {
