--- a/crates/roseproxy/tests/start.py
+++ b/crates/roseproxy/tests/start.py
@@ -1,4 +1,7 @@
-"""Starts the real program as the deploy file says, asks it whether it is ready, reloads and ends it."""
+"""Checks that the program starts by the command of the deploy file, is ready, reloads, and ends in order.
+
+The first argument is the shell command that starts the program.
+"""
 
 import json
 import os
@@ -28,20 +31,22 @@
 MEMBER = {"id": "s-1", "host_port": "127.0.0.1:9", "locality": "a", "flavor": "m", "cell": 0,
           "phase": "in_service", "size": 1.0, "up_since_ms": 0}
 
-
-# By when a started sidecar has to be ready (s).
-START_WITHIN = 30
+# Time within which a started sidecar has to be ready.
+READY_TIMEOUT_S = 30
 
 
 def free_port():
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        return probe.getsockname()[1]
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        return listener.getsockname()[1]
+
 
+def wait_until_ready(url, program):
+    """Polls the program, as applications do, until it is ready or the time limit is over; returns the last status.
 
-def ready(url, program):
-    """Asks, as applications do, until the program is ready, has ended, or its time for a start is over."""
-    until = time.monotonic() + START_WITHIN
+    Exits with an error if the program ends first.
+    """
+    deadline = time.monotonic() + READY_TIMEOUT_S
     status = 0
     while program.poll() is None:
         try:
@@ -50,7 +55,7 @@
             status = answer.code
         except OSError:
             pass
-        if time.monotonic() > until:
+        if time.monotonic() > deadline:
             return status
         time.sleep(0.01)
     sys.exit("the program ended before it was ready")
@@ -65,8 +70,8 @@
         file.flush()
         env = {**os.environ, "LB_CONFIG": file.name}
         program = subprocess.Popen(["/bin/sh", "-c", sys.argv[1]], env=env, stderr=subprocess.PIPE, text=True)
-        status = ready(f"http://{listen}/health/ready", program)
-        # Two reloads: of a faulty file, which changes nothing, and of one with another discovery.
+        status = wait_until_ready(f"http://{listen}/health/ready", program)
+        # Two reloads: one of a faulty file, which changes nothing, and one with another address of discovery.
         for text in ["{", json.dumps({**config, "discovery": f"127.0.0.1:{free_port()}"})]:
             file.seek(0)
             file.truncate()
@@ -76,12 +81,12 @@
             for line in program.stderr:
                 if "configuration" in line:
                     break
-        status = max(status, ready(f"http://{listen}/health/ready", program), key=lambda s: s != 200)
+        status = max(status, wait_until_ready(f"http://{listen}/health/ready", program), key=lambda code: code != 200)
         program.send_signal(signal.SIGTERM)
-        said = program.communicate()[1]
-    wanted = ["flows_taken 0", "reloads 1", "reloads_faulty 1"]
-    if status != 200 or program.returncode != 0 or not all(w in said for w in wanted):
-        sys.exit(f"ready {status}, exit {program.returncode}, said:\n{said}")
+        log = program.communicate()[1]
+    expected = ["flows_taken 0", "reloads 1", "reloads_faulty 1"]
+    if status != 200 or program.returncode != 0 or not all(line in log for line in expected):
+        sys.exit(f"ready {status}, exit {program.returncode}, log:\n{log}")
     print("the program starts, is ready, reloads, and ends in order")
 
 
