--- a/crates/roseproxy/tests/late_writes.rs
+++ b/crates/roseproxy/tests/late_writes.rs
@@ -44,10 +44,10 @@
                     spawn_local(stall(action));
                 }
             }
-            Event::Ended { request, server, outcome: Outcome::NotSent, finished: false, .. } => {
+            Event::AttemptEnded { request, server, outcome: Outcome::NotSent, finished: false, .. } => {
                 out.push(Action::Send { request, server, timeout: None });
             }
-            Event::Ended { request, finished: false, .. } => out.push(Action::Fail { request }),
+            Event::AttemptEnded { request, finished: false, .. } => out.push(Action::Fail { request }),
             _ => {}
         }
     }
--- a/crates/roseproxy/tests/protocol.rs
+++ b/crates/roseproxy/tests/protocol.rs
@@ -122,9 +122,9 @@
 #[test]
 fn valid_figures_of_a_partly_invalid_report_are_used() {
     let report = load::read("TEXT inflight=7, queue=2, util=0.61\n").expect("a report");
-    assert_eq!((report.held, report.waiting, report.busy), (Some(7.0), Some(2.0), Some(0.61)));
+    assert_eq!((report.in_flight, report.waiting, report.utilization), (Some(7.0), Some(2.0), Some(0.61)));
     let partial = load::read("TEXT inflight=NaN, queue=-3, util, later=9, qps=4").expect("one figure");
-    assert_eq!((partial.held, partial.waiting, partial.rate), (None, None, Some(4.0)));
+    assert_eq!((partial.in_flight, partial.waiting, partial.requests_per_s), (None, None, Some(4.0)));
     assert!(load::read("").is_none() && load::read("<html>").is_none());
 }
 
