--- a/crates/roseproxy/tests/common/cold_fleet.rs
+++ b/crates/roseproxy/tests/common/cold_fleet.rs
@@ -219,7 +219,7 @@
 impl Simulation {
     /// Starts with warm servers only; `load` is the share of their capacity that the requests need.
     pub fn new(settings: &Settings, ramp: Ramp, seed: u64, servers: u64, load: f64) -> Simulation {
-        let hosts = 0..settings.balancers as u64;
+        let hosts = 0..settings.sidecars as u64;
         let hosts =
             hosts.map(|number| Host::new(settings.clone(), seed * 1_000 + number, EPOCH_MS)).collect();
         let servers = (0..servers).map(Server::new).map(|server| (server.target.id, server));
