--- a/crates/capacity/src/decisions.rs
+++ b/crates/capacity/src/decisions.rs
@@ -17,7 +17,7 @@
     Action, Class, Event, Load, Micros, Outcome, Request, Server, ServerId, Settings, Update,
 };
 use roseproxy_decision::policy::Balancer;
-use roseproxy_fleet::homes::{Fleet, Homes, Place};
+use roseproxy_fleet::key_homes::{Candidates, HomeCandidate, KeyHomes};
 use serde::Serialize;
 use std::collections::BinaryHeap;
 
@@ -220,18 +220,25 @@
 /// `runs`; and of drawing one home when they are filled.
 pub fn homes(endpoints: usize, keys: usize, sidecars: usize, runs: usize) -> (f64, f64) {
     let list = servers(endpoints);
-    let mut places: Vec<Place> =
-        list.iter().map(|s| Place { id: s.id.0, weight: 1.0, capacity: 1.0, most: f64::INFINITY }).collect();
+    let mut places: Vec<HomeCandidate> = list
+        .iter()
+        .map(|s| HomeCandidate { id: s.id.0, weight: 1.0, capacity: 1.0, max_share: f64::INFINITY })
+        .collect();
     places.sort_unstable_by_key(|p| p.id);
-    let fleet = Fleet { places: &places, generation: 0, sight: roseproxy_fleet::sight(sidecars), bound: 2.0 };
+    let fleet = Candidates {
+        servers: &places,
+        generation: 0,
+        visibility: roseproxy_fleet::visibility(sidecars),
+        load_bound: 2.0,
+    };
     let (mut filled, mut drawn) = (Vec::new(), Vec::new());
     for run in 0..runs.max(1) {
-        let mut homes = Homes::default();
-        (0..keys as u64).for_each(|key| homes.saw(key.wrapping_mul(7_919)));
+        let mut homes = KeyHomes::default();
+        (0..keys as u64).for_each(|key| homes.record_request(key.wrapping_mul(7_919)));
         let at = run as i64 * FILL_AGAIN;
         for times in [&mut filled, &mut drawn] {
             let begun = thread_micros();
-            std::hint::black_box(homes.home(7_919, fleet, at, 0.5));
+            std::hint::black_box(homes.choose_home(7_919, fleet, at, 0.5));
             times.push(thread_micros() - begun);
         }
     }
--- a/crates/decision/src/affinity.rs
+++ b/crates/decision/src/affinity.rs
@@ -3,7 +3,7 @@
 use crate::interface::ServerId;
 use crate::policy::WARM;
 use crate::state::Balancer;
-use roseproxy_fleet::homes::{Fleet, Place};
+use roseproxy_fleet::key_homes::{Candidates, HomeCandidate};
 
 impl Balancer {
     /// One of the servers that all balancers give a key to first.
@@ -12,8 +12,13 @@
         self.refresh_places();
         let (sight, bound) = (self.sight(), self.home_bound());
         let draw = if sight < 1.0 { self.uniform() } else { 0.0 };
-        let fleet = Fleet { places: &self.places, generation: self.places_generation, sight, bound };
-        let home = self.homes.home(key, fleet, self.now, draw)?;
+        let fleet = Candidates {
+            servers: &self.places,
+            generation: self.places_generation,
+            visibility: sight,
+            load_bound: bound,
+        };
+        let home = self.homes.choose_home(key, fleet, self.now, draw)?;
         self.slots.get(&ServerId(home)).copied()
     }
 
@@ -44,14 +49,14 @@
                 places.push(self.place_of(slot, speeds));
             }
         }
-        let same = |(a, b): (&Place, &Place)| a.id == b.id && a.weight == b.weight;
+        let same = |(a, b): (&HomeCandidate, &HomeCandidate)| a.id == b.id && a.weight == b.weight;
         if places.len() != self.places.len() || !places.iter().zip(&self.places).all(same) {
             self.places_generation += 1;
         }
         self.places = places;
     }
 
-    fn place_of(&self, slot: usize, speeds: f64) -> Place {
+    fn place_of(&self, slot: usize, speeds: f64) -> HomeCandidate {
         let (server, warmth) = (&self.backends[slot], self.warmth(slot));
         // What warm servers lose for a moment, slow or set aside, is not a cold one's to take over.
         let most = match warmth < 1.0 {
@@ -59,7 +64,7 @@
             false => f64::INFINITY,
         };
         let weight = server.info.power * warmth;
-        Place { id: server.info.id.0, weight, capacity: server.capacity, most }
+        HomeCandidate { id: server.info.id.0, weight, capacity: server.capacity, max_share: most }
     }
 
     /// Whether the water-fill would give a home all of its key: even then it is less full than any other server is
--- a/crates/decision/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -150,7 +150,7 @@
             cold_from: self.cold_from,
             warm_up: self.warm_up,
             fall_multiple: self.fall_multiple,
-            span: self.overload_for,
+            overload_span: self.overload_for,
         }
     }
 }
--- a/crates/decision/src/learn.rs
+++ b/crates/decision/src/learn.rs
@@ -66,7 +66,7 @@
         let ready = self.backends.iter().filter(|b| b.ready()).count() as f64;
         let own: u32 = self.backends.iter().map(|b| b.out).sum();
         let mean = known.iter().map(|(load, _)| load).sum::<f64>() / known.len() as f64;
-        self.tenants.held(mean * ready, own.into(), passed);
+        self.tenants.record_held(mean * ready, own.into(), passed);
     }
 
     /// How much of its speed a server lacks of late: the time that own attempts have spent there, answered or
--- a/crates/decision/src/policy.rs
+++ b/crates/decision/src/policy.rs
@@ -12,8 +12,8 @@
 pub use crate::water_fill::water_fill;
 use rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro128PlusPlus;
-use roseproxy_fleet::aside;
-use roseproxy_fleet::draw::pick as find;
+use roseproxy_fleet::draw::pick_by_share as find;
+use roseproxy_fleet::ejection;
 use std::collections::HashSet;
 
 /// Points that probing may cost, where only probes bring reports and where every answer brings one, which a
@@ -129,9 +129,9 @@
             return;
         }
         let wait = match update {
-            Update::Complete | Update::Changes => self.calls.received(&mut self.rng),
-            Update::Failed => self.calls.failed(self.now, &mut self.rng),
-            Update::Reopened => return self.calls.reopened(self.now),
+            Update::Complete | Update::Changes => self.calls.on_list(&mut self.rng),
+            Update::Failed => self.calls.on_failure(self.now, &mut self.rng),
+            Update::Reopened => return self.calls.on_watch_reopened(self.now),
         };
         self.out.extend(wait.map(|after| Action::Timer { token: LIST, after }));
     }
@@ -174,7 +174,7 @@
             // The trial is passed: real work again, but the next bad outcome brings the rest back.
             (true, false) => b.trouble = b.trouble.min(GAIN),
         }
-        let gain = if bad > 0.0 { aside::weight(GAIN, sight) } else { GAIN };
+        let gain = if bad > 0.0 { ejection::outcome_weight(GAIN, sight) } else { GAIN };
         b.trouble += (bad - b.trouble) * gain;
         if b.trouble >= SUSPECT && b.until <= now {
             self.suspect(slot);
@@ -183,7 +183,7 @@
 
     pub(crate) fn suspect(&mut self, slot: usize) {
         let jitter = 0.5 + self.uniform();
-        let first = aside::first_rest(REST.0, REST.1, self.sight());
+        let first = ejection::first_ejection_time(REST.0, REST.1, self.sight());
         let b = &mut self.backends[slot];
         b.trouble = b.trouble.max(SUSPECT);
         b.rest = b.rest.clamp(first, REST.1);
@@ -276,7 +276,7 @@
         self.requests.insert(id, held);
         // In a small fleet a key has one home whatever its share.
         if let Some(key) = key.filter(|_| self.settings.warm_keys && self.sight() < 1.0) {
-            self.homes.saw(key);
+            self.homes.record_request(key);
         }
         self.refresh_table();
         if self.probe_for(id) {
@@ -347,7 +347,7 @@
 
     fn on_timer(&mut self, request: RequestId, what: u64) {
         if what == LIST {
-            self.calls.started(self.now);
+            self.calls.on_call_started(self.now);
             return self.out.push(Action::Subscribe);
         }
         let Some(held) = self.requests.get(&request) else { return };
@@ -444,7 +444,7 @@
         // Clients ask again at once and a crowded server turns slow for long: a doubt is no benefit.
         let lost = usize::from(self.settings.max_retry_after <= 0);
         let beyond =
-            tenant.map_or(0.0, |t| self.tenants.beyond(t, self.now) * (1.0 - self.settings.over_share_worth));
+            tenant.map_or(0.0, |t| self.tenants.excess(t, self.now) * (1.0 - self.settings.over_share_worth));
         let strict = DOUBT[lost] + (BEYOND.0 * beyond).min(BEYOND.1) + LATE[lost] * self.lateness;
         let late = aim * (-self.spread * strict).exp();
         // Work that comes too late is refused before it takes room from work that would not. The usual
@@ -487,7 +487,7 @@
             self.guess();
         }
         self.shut_since = None;
-        tenant.filter(|_| first).into_iter().for_each(|t| self.tenants.sent(t, self.now));
+        tenant.filter(|_| first).into_iter().for_each(|t| self.tenants.record_sent(t, self.now));
         let attempt = Attempt { slot, sent: self.now, outcome: None };
         self.requests.entry(request).and_modify(|h| h.attempts.push(attempt));
         let again = (forecast * (3.0 * self.spread).exp()).max(aim / 4.0);
@@ -500,7 +500,7 @@
             }
         }
         let warmth = self.warmth(slot);
-        self.slow_start.sent(self.now, self.backends[slot].info.id.0, warmth);
+        self.slow_start.record_call(self.now, self.backends[slot].info.id.0, warmth);
         let (now, b) = (self.now, &mut self.backends[slot]);
         if b.out == 0 {
             b.silent_since = now;
--- a/crates/decision/src/slow_start.rs
+++ b/crates/decision/src/slow_start.rs
@@ -2,7 +2,7 @@
 
 use crate::interface::{GiveUpReason, RequestId};
 use crate::state::Balancer;
-use roseproxy_fleet::draw::pick as find;
+use roseproxy_fleet::draw::pick_by_share as find;
 
 impl Balancer {
     /// Takes in what warm servers serve, which is the guide to what cold ones bear.
@@ -17,20 +17,20 @@
                 warm_power += self.backends[slot].info.power;
             }
         }
-        self.slow_start.observe(self.now, warm_power, power);
+        self.slow_start.observe_power(self.now, warm_power, power);
     }
 
     /// An own attempt was answered.
     pub(crate) fn answered_by(&mut self, slot: usize) {
         if self.warmth(slot) >= 1.0 {
-            self.slow_start.served(self.now);
+            self.slow_start.record_answer(self.now);
         }
     }
 
     /// The share of all own calls that a server may get at most.
     pub(crate) fn slow_start_share(&self, slot: usize) -> f64 {
         let server = &self.backends[slot].info;
-        let share = self.slow_start.share(self.now, self.warmth(slot), server.power);
+        let share = self.slow_start.max_share(self.now, self.warmth(slot), server.power);
         // In a large fleet two ways lead to a server: as its keys' home, and drawn from the table.
         if self.settings.warm_keys && self.sight() < 1.0 {
             share / 2.0
@@ -50,7 +50,7 @@
     fn bears_one_more(&mut self, slot: usize) -> bool {
         let warmth = self.warmth(slot);
         let server = &self.backends[slot].info;
-        self.slow_start.allows(self.now, server.id.0, warmth, server.power)
+        self.slow_start.allows_call(self.now, server.id.0, warmth, server.power)
     }
 
     /// The server drawn with this share or, where that has had its budget, another one of these, of all where there are
--- a/crates/decision/src/state.rs
+++ b/crates/decision/src/state.rs
@@ -4,11 +4,11 @@
     Action, ClassId, Micros, Outcome, Prices, Readiness, RequestId, Server, ServerId, Settings,
 };
 use rand_xoshiro::Xoshiro128PlusPlus;
-use roseproxy_fleet::calls::CallSchedule;
+use roseproxy_fleet::discovery_calls::CallSchedule;
 use roseproxy_fleet::draw;
-use roseproxy_fleet::homes::{Homes, Place};
+use roseproxy_fleet::key_homes::{HomeCandidate, KeyHomes};
 use roseproxy_fleet::slow_start::SlowStart;
-use roseproxy_fleet::tenants::Tenants;
+use roseproxy_fleet::tenants::TenantQuotas;
 use std::collections::HashMap;
 
 /// Trouble (smoothed share of bad outcomes) at which a server becomes suspect.
@@ -165,11 +165,11 @@
     /// Requests that await probes, oldest first.
     pub(crate) awaiting: Vec<RequestId>,
     /// Where the keys go first that it is asked for.
-    pub(crate) homes: Homes,
+    pub(crate) homes: KeyHomes,
     /// What cold servers may be sent.
     pub(crate) slow_start: SlowStart,
     /// What was sent of late for each tenant, and the own part of all.
-    pub(crate) tenants: Tenants,
+    pub(crate) tenants: TenantQuotas,
     /// Smoothed work of each class.
     pub(crate) class_work: Vec<f64>,
     /// Smoothed work of what is answered.
@@ -199,7 +199,7 @@
     /// How full the emptiest server of the table is, for each unit of capacity, with nothing more sent to it.
     pub(crate) lowest_level: f64,
     /// The servers that may be homes, by id; the table that they were made with, and how often they have changed.
-    pub(crate) places: Vec<Place>,
+    pub(crate) places: Vec<HomeCandidate>,
     pub(crate) places_at: Option<Micros>,
     pub(crate) places_generation: u64,
     /// All slots, by the servers' ids once they have been put in order.
@@ -237,7 +237,7 @@
 
     /// How much of what happens to the servers it sees by itself.
     pub(crate) fn sight(&self) -> f64 {
-        roseproxy_fleet::sight(self.settings.balancers)
+        roseproxy_fleet::visibility(self.settings.balancers)
     }
 
     /// A request's answer has started to come as a stream: its servers owe nothing more, however long it lasts.
@@ -323,7 +323,7 @@
 
     pub(crate) fn blank(settings: Settings, rng: Xoshiro128PlusPlus, now: Micros) -> Self {
         Balancer {
-            tenants: Tenants::new(&settings.tenants, settings.balancers),
+            tenants: TenantQuotas::new(&settings.tenants, settings.balancers),
             calls: CallSchedule::new(settings.balancers, settings.ask_within),
             slow_start: SlowStart::new(settings.balancers, settings.ramp()),
             settings,
@@ -339,7 +339,7 @@
             kinds: HashMap::new(),
             requests: HashMap::new(),
             awaiting: Vec::new(),
-            homes: Homes::default(),
+            homes: KeyHomes::default(),
             class_work: Vec::new(),
             work: 0.0,
             rate: 0.0,
--- a/crates/decision/src/table.rs
+++ b/crates/decision/src/table.rs
@@ -5,7 +5,7 @@
 
 use crate::interface::{Action, Micros, Readiness};
 use crate::state::{Balancer, SUSPECT};
-use roseproxy_fleet::usual::usual_load;
+use roseproxy_fleet::typical_load::typical_load;
 
 /// Time (microseconds) in which most of what was learnt of late answers is forgotten.
 pub(crate) const FORGET: f64 = 1e6;
@@ -94,7 +94,7 @@
         }
         self.learn_part(&reports.known, passed);
         let count = reports.known.len() as f64;
-        self.mean_load = usual_load(&reports.known, self.sight());
+        self.mean_load = typical_load(&reports.known, self.sight());
         self.mean_capacity = reports.known.iter().map(|(_, c)| c).sum::<f64>() / count;
         reports.ages / count
     }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,27 +1,33 @@
-//! What one sidecar may do by itself, as a function of the fleet's size.
+//! Policies whose strength depends on the number of sidecars in the fleet.
 //!
-//! Sidecars share nothing, and all of them decide alike. What is harmless when a few do it is not when
-//! a hundred do, so whatever all do at once asks here how much of it is one sidecar's part. No I/O, no
-//! clock, and no state but what whoever asks keeps for it: the decision module does.
+//! Sidecars exchange no messages and all run the same algorithm, so an action that is harmless from
+//! a few of them can overload a server or discovery when a hundred take it at once. Each module
+//! here computes one sidecar's part of such an action: calls to discovery, cold-server budgets,
+//! tenant quotas, key affinity and the ejection of failing servers. The crate does no I/O, reads no
+//! clock and depends only on random number generators; the decision module and the routing host
+//! keep its state and pass in the time. Begin with [`visibility`], which most modules scale by,
+//! then read [`discovery_calls`].
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod aside;
-pub mod calls;
+pub mod discovery_calls;
 pub mod draw;
-pub mod homes;
+pub mod ejection;
+pub mod key_homes;
 pub mod list_lease;
 pub mod slow_start;
 pub mod tenants;
-pub mod usual;
+pub mod typical_load;
 
-/// Sidecars up to which each sees enough of the servers by itself.
-const FEW: f64 = 10.0;
+/// Largest fleet in which each sidecar sees enough of the servers' behaviour by itself.
+const FULL_VISIBILITY_SIDECARS: f64 = 10.0;
 
-/// How much of what happens to the servers one sidecar sees, compared with one of a small fleet: 1 up to
-/// ten sidecars, a tenth at a hundred. The traffic of a server grows little with the fleet, so every
-/// sidecar's part of it shrinks, and with it the number of answers that teach it anything.
-pub fn sight(sidecars: usize) -> f64 {
-    (FEW / sidecars.max(1) as f64).min(1.0)
+/// Share of a server's traffic that one sidecar observes, relative to a small fleet: 1 for up to
+/// ten sidecars, 0.1 for a hundred.
+///
+/// The traffic of a server grows little with the fleet, so the part that each sidecar sends
+/// shrinks, and with it the number of responses from which the sidecar can learn.
+pub fn visibility(sidecars: usize) -> f64 {
+    (FULL_VISIBILITY_SIDECARS / sidecars.max(1) as f64).min(1.0)
 }
--- a/crates/fleet/src/list_lease.rs
+++ b/crates/fleet/src/list_lease.rs
@@ -1,147 +1,167 @@
-//! The lease of the list of endpoints: how long it may be acted on without a word from discovery.
+//! Lease of the server list: how long the list may be used without contact with discovery.
 //!
-//! [`ListLease`] is a state machine without I/O or a clock of its own. Whoever follows discovery tells it what was heard and
-//! what failed, and asks it before each send. All times are in milliseconds, of one clock.
-
-/// A change counts as told this long after discovery had it and could be reached (ms).
-const TOLD_WITHIN: f64 = 6_000.0;
-/// The same after a move to another discovery (ms).
-const TOLD_AFTER_MOVE: f64 = 4_000.0;
-/// After a start, discovery counts as away this long after it once a call has failed (ms). Before, one such call may as well
-/// have met a crowd, and applications are not served yet.
-const START_PATIENCE: f64 = 5_000.0;
-
-/// What the settings say of a list's lease.
+//! [`ListLease`] is a state machine without I/O or a clock of its own. The caller that follows
+//! discovery reports confirmations and failures, and checks the lease before each send. All times
+//! are in milliseconds of one clock.
+
+/// Time after which a change counts as told, once discovery has it and can be reached (ms).
+const NOTICE_TERM_MS: f64 = 6_000.0;
+/// The same after discovery has moved to another address (ms).
+const NOTICE_TERM_AFTER_MOVE_MS: f64 = 4_000.0;
+/// Time after a start from which a failed call means that discovery is unavailable (ms). Before it,
+/// the call may have failed because many sidecars called at once, and applications are not served
+/// yet.
+const START_UNAVAILABLE_AFTER_MS: f64 = 5_000.0;
+
+/// Lease parameters from the settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseTerms {
-    /// How long after word of a drain sends may go on (ms).
-    pub grace: f64,
-    /// How long after a watch has ended a change counts as told (ms): the time in which an instance without a watch must ask,
-    /// or nothing where an agent of the own machine pushes lists. Never more than the term that holds for all.
-    pub unwatched: f64,
+    /// Time for which requests may still be sent to a server after notice of its drain (ms).
+    pub grace_ms: f64,
+    /// Time after which a change counts as told once a watch has ended (ms): the time within which
+    /// an instance without a watch must ask, or 0 where an agent on the same machine pushes lists.
+    /// It is limited to the term that applies to all changes.
+    pub unwatched_ms: f64,
 }
 
-/// How a call to discovery failed, as far as that tells whether it is there.
+/// How a call to discovery failed, classified by what that says about its availability.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failure {
-    /// No connection came up: it is away, or cut off.
+pub enum DiscoveryFailure {
+    /// No connection was established: discovery is unavailable or the network is partitioned.
     Unreachable,
-    /// It was reached, and turned the call away or broke it off: it is away behind something that is there, or crowded.
+    /// The call was rejected or broken off after it was accepted: discovery is overloaded, or
+    /// unavailable behind a proxy that still accepts connections.
     Unanswered,
-    /// Nothing came: the call was lost on its way, or discovery hangs.
+    /// No response arrived: the call was lost on the way, or discovery hangs.
     NoAnswer,
-    /// A watch that was open has ended.
+    /// An open watch ended.
     WatchEnded,
 }
 
-/// Until when a list may be acted on.
+/// Until when a list may be used.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Term {
     /// Until this time.
     Until(f64),
-    /// For as long as discovery is away: nobody is told anything meanwhile, and the service must go on.
-    WhileAway,
+    /// While discovery is unavailable: it can notify no sidecar of changes, and the service must
+    /// continue.
+    WhileUnavailable,
 }
 
-/// The lease of the list in hand.
+/// Lease of the current list.
 #[derive(Clone, Debug)]
 pub struct ListLease {
-    grace: f64,
-    unwatched: f64,
-    began: f64,
+    grace_ms: f64,
+    unwatched_ms: f64,
+    started_at: f64,
     confirmed_at: Option<f64>,
     term: Term,
-    /// Whether a call has failed since the start, before any was answered.
+    /// Whether a call has failed since the start and no confirmation has arrived.
     start_failed: bool,
-    /// Whether the last call got no answer.
-    unheard: bool,
+    /// Whether the last call got no response.
+    unanswered: bool,
 }
 
 impl ListLease {
-    /// The lease of a list that was kept from before a start. What changed meanwhile may count as told already, so that it
-    /// lasts no longer than the grace.
-    pub fn of_kept_list(began: f64, terms: LeaseTerms) -> ListLease {
-        let (grace, unwatched) = (terms.grace, terms.unwatched.clamp(0.0, TOLD_WITHIN));
-        let term = Term::Until(began + grace);
-        ListLease { grace, unwatched, began, confirmed_at: None, term, start_failed: false, unheard: false }
+    /// Creates the lease of a list that was kept from before the start. Changes made in between may
+    /// already count as told, so the lease lasts no longer than the grace.
+    pub fn of_kept_list(started_at: f64, terms: LeaseTerms) -> ListLease {
+        let (grace_ms, unwatched_ms) = (terms.grace_ms, terms.unwatched_ms.clamp(0.0, NOTICE_TERM_MS));
+        let term = Term::Until(started_at + grace_ms);
+        ListLease {
+            grace_ms,
+            unwatched_ms,
+            started_at,
+            confirmed_at: None,
+            term,
+            start_failed: false,
+            unanswered: false,
+        }
     }
 
-    /// Discovery has told of a change, or that there is none.
-    pub fn confirmed(&mut self, now: f64) {
+    /// Records that discovery sent a change, or confirmed that there is none.
+    pub fn on_confirmed(&mut self, now: f64) {
         self.confirmed_at = Some(now);
-        (self.start_failed, self.unheard) = (false, false);
-        self.term = Term::Until(now + TOLD_WITHIN + self.grace);
+        (self.start_failed, self.unanswered) = (false, false);
+        self.term = Term::Until(now + NOTICE_TERM_MS + self.grace_ms);
     }
 
-    /// A call goes out. While it is out nothing is known of discovery, so that its absence holds no longer than a term.
-    pub fn call_started(&mut self, now: f64) {
-        if self.term == Term::WhileAway {
-            self.term = Term::Until(now + TOLD_WITHIN + self.grace);
+    /// Records that a call starts. The state of discovery is unknown until the call ends, so an
+    /// earlier unavailability extends the lease by no more than one term.
+    pub fn on_call_started(&mut self, now: f64) {
+        if self.term == Term::WhileUnavailable {
+            self.term = Term::Until(now + NOTICE_TERM_MS + self.grace_ms);
         }
     }
 
-    /// A call has failed, or a watch has ended.
-    pub fn failed(&mut self, now: f64, failure: Failure) {
+    /// Records that a call failed or a watch ended.
+    pub fn on_failure(&mut self, now: f64, failure: DiscoveryFailure) {
         match failure {
-            Failure::WatchEnded => self.shorten_to(now + self.unwatched + self.grace),
-            Failure::Unreachable => self.term = Term::WhileAway,
-            Failure::Unanswered | Failure::NoAnswer if self.confirmed_at.is_none() => {
+            DiscoveryFailure::WatchEnded => self.shorten_to(now + self.unwatched_ms + self.grace_ms),
+            DiscoveryFailure::Unreachable => self.term = Term::WhileUnavailable,
+            DiscoveryFailure::Unanswered | DiscoveryFailure::NoAnswer if self.confirmed_at.is_none() => {
                 self.start_failed = true
             }
-            Failure::NoAnswer if !std::mem::replace(&mut self.unheard, true) => {}
-            Failure::Unanswered | Failure::NoAnswer => self.term = Term::WhileAway,
+            DiscoveryFailure::NoAnswer if !std::mem::replace(&mut self.unanswered, true) => {}
+            DiscoveryFailure::Unanswered | DiscoveryFailure::NoAnswer => self.term = Term::WhileUnavailable,
         }
     }
 
-    /// Another discovery is to be asked from now on: that the one before was away tells nothing of it.
-    pub fn moved(&mut self, now: f64) {
-        (self.start_failed, self.unheard) = (false, false);
-        self.shorten_to(now + TOLD_AFTER_MOVE + self.grace);
+    /// Records that discovery moved to another address: the unavailability of the previous one says
+    /// nothing about the new one.
+    pub fn on_moved(&mut self, now: f64) {
+        (self.start_failed, self.unanswered) = (false, false);
+        self.shorten_to(now + NOTICE_TERM_AFTER_MOVE_MS + self.grace_ms);
     }
 
-    /// Whether the list must not be acted on any more.
-    pub fn expired(&self, now: f64) -> bool {
+    /// Whether the list must no longer be used.
+    pub fn is_expired(&self, now: f64) -> bool {
         self.expired_since(now).is_some()
     }
 
-    /// Since when the list must not be acted on any more; `None` while it may.
+    /// Returns the time since which the list must no longer be used, or `None` while it may be
+    /// used.
     pub fn expired_since(&self, now: f64) -> Option<f64> {
-        let away_since_start = self.start_failed && self.patience_is_over(now);
-        self.expires_at().filter(|end| now >= *end && !away_since_start)
+        let unavailable_since_start = self.start_failed && self.start_period_is_over(now);
+        self.expires_at().filter(|end| now >= *end && !unavailable_since_start)
     }
 
-    /// When it expires unless discovery is heard of before; `None` while discovery is away.
+    /// Returns the time at which the lease expires without further contact, or `None` while
+    /// discovery is unavailable.
     pub fn expires_at(&self) -> Option<f64> {
         match self.term {
-            Term::WhileAway => None,
+            Term::WhileUnavailable => None,
             Term::Until(end) => Some(end),
         }
     }
 
-    /// When it has to be looked at next: it expires then, or may be acted on again.
+    /// Returns the next time at which the lease may expire or become usable again.
     pub fn next_change(&self, now: f64) -> Option<f64> {
-        let patience_ends = self.start_failed.then_some(self.began + START_PATIENCE);
-        let changes = self.expires_at().into_iter().chain(patience_ends);
+        let start_period_ends = self.start_failed.then_some(self.started_at + START_UNAVAILABLE_AFTER_MS);
+        let changes = self.expires_at().into_iter().chain(start_period_ends);
         changes.filter(|at| *at > now).min_by(f64::total_cmp)
     }
 
-    /// Whether the sidecar may say that it is ready: discovery has confirmed the list since the start, or is away.
-    pub fn settled(&self, now: f64) -> bool {
-        let away = self.term == Term::WhileAway || (self.start_failed && self.patience_is_over(now));
-        !self.expired(now) && (away || self.confirmed_at.is_some())
+    /// Whether the sidecar may report that it is ready: the list may be used, and either discovery
+    /// has confirmed it since the start or discovery is unavailable.
+    pub fn is_settled(&self, now: f64) -> bool {
+        let unavailable =
+            self.term == Term::WhileUnavailable || (self.start_failed && self.start_period_is_over(now));
+        !self.is_expired(now) && (unavailable || self.confirmed_at.is_some())
     }
 
-    /// Time since discovery has confirmed the list, or since the start where it has not (ms).
+    /// Returns the time since discovery last confirmed the list, or since the start if it never did
+    /// (ms).
     pub fn age(&self, now: f64) -> f64 {
-        (now - self.confirmed_at.unwrap_or(self.began)).max(0.0)
+        (now - self.confirmed_at.unwrap_or(self.started_at)).max(0.0)
     }
 
-    fn patience_is_over(&self, now: f64) -> bool {
-        now >= self.began + START_PATIENCE
+    fn start_period_is_over(&self, now: f64) -> bool {
+        now >= self.started_at + START_UNAVAILABLE_AFTER_MS
     }
 
     fn shorten_to(&mut self, end: f64) {
-        let present = self.expires_at().unwrap_or(f64::INFINITY);
-        self.term = Term::Until(present.min(end));
+        let current_end = self.expires_at().unwrap_or(f64::INFINITY);
+        self.term = Term::Until(current_end.min(end));
     }
 }
--- a/crates/fleet/src/slow_start.rs
+++ b/crates/fleet/src/slow_start.rs
@@ -1,54 +1,63 @@
 //! Slow start: how many calls one sidecar may send to a cold server.
 //!
-//! A server that has just started falls over when all sidecars together send it more than a multiple of what it can do
-//! then, within a span that the settings name. Its capacity is not told; what warm servers of its size serve is the
-//! guide, and each sidecar takes the part of it that it sees itself. The shares of the water-fill keep to a fraction of
-//! that in the mean; this is the bound that holds whatever the shares say, as where only cold servers are left.
+//! A server that has just started falls over when all sidecars together send it more than a
+//! multiple of its present capacity within a span of time named by the settings. The capacity
+//! itself is not known; it is estimated from the rate that warm servers of the same size serve, and
+//! each sidecar takes the part of it that it observes itself. The shares of the water-fill stay
+//! within a fraction of that budget on average. This module enforces the budget whatever the shares
+//! are, for example when only cold servers are left.
 
 use std::collections::{HashMap, VecDeque};
 
-/// Time (microseconds) over which calls and answers are smoothed.
-const SMOOTHED: f64 = 3e6;
-/// Times (microseconds) in which most of a rise of what warm servers serve is taken up, where about as many are warm as
-/// before and where few are left, whose crowd tells nothing of others; and in which most of a fall is: servers that are
-/// asked little can still do as much.
-const LEARNT: (f64, f64) = (0.1e6, 30e6);
-const FORGOTTEN: f64 = 60e6;
-/// The part of the warm servers that must be left for a rise to tell of others.
-const ENOUGH: f64 = 0.5;
-/// The parts of the guide and of the platform's allowance for chance that are taken up: the sizes that the list gives
-/// are rough, and what few warm servers serve is no mean.
-const CAUTION: f64 = 0.65;
-const CHANCE: f64 = 0.5;
-/// Calls from which on a sidecar's part of a budget is counted in a large fleet too. Of fewer, counting would cut off what
-/// chance brings to one sidecar and not to another.
-const COUNTED: f64 = 4.0;
-/// Servers whose calls are remembered before those are forgotten that got none within the span.
-const MOST: usize = 64;
-
-/// How servers warm up, and what they bear meanwhile.
+/// Time constant for smoothing the rates of calls and answers (microseconds).
+const RATE_SMOOTHING_US: f64 = 3e6;
+/// Time constant for following a rise of the rate that warm servers serve, while about as many
+/// servers are warm as before (microseconds).
+const RISE_TIME_US: f64 = 0.1e6;
+/// The same where few warm servers are left: their load says nothing about other servers
+/// (microseconds).
+const RISE_TIME_FEW_WARM_US: f64 = 30e6;
+/// Time constant for following a fall of the rate that warm servers serve (microseconds). It is long
+/// because servers that receive few requests can still serve as many as before.
+const FALL_TIME_US: f64 = 60e6;
+/// Share of the recent peak of warm power that must remain for a rise to say something about other
+/// servers.
+const MIN_WARM_SHARE: f64 = 0.5;
+/// Share of the estimated rate that is used: the sizes in the list are rough, and the rate of a few
+/// warm servers is not a reliable mean.
+const RATE_SAFETY_FACTOR: f64 = 0.65;
+/// Share of the platform's allowance for random variation that is used, for the same reasons.
+const ALLOWANCE_FACTOR: f64 = 0.5;
+/// Smallest budget of one sidecar that is enforced by counting in a large fleet (calls). Counting
+/// smaller budgets would reject calls that random variation brings to one sidecar and not to
+/// another.
+const MIN_COUNTED_BUDGET: f64 = 4.0;
+/// Number of tracked servers at which those without a recent call are dropped.
+const MAX_TRACKED_SERVERS: usize = 64;
+
+/// How servers warm up, and the load that they tolerate meanwhile.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Ramp {
-    /// Share of its capacity that a server starts with, at least.
+    /// Smallest share of its capacity with which a server starts.
     pub cold_from: f64,
-    /// Time (microseconds) after which it is warm.
+    /// Time after which a server is warm (microseconds).
     pub warm_up: i64,
-    /// It falls over at more than this multiple of its present capacity.
+    /// A server falls over at more than this multiple of its present capacity.
     pub fall_multiple: f64,
-    /// For this long (microseconds).
-    pub span: i64,
+    /// Time over which that load is counted (microseconds).
+    pub overload_span: i64,
 }
 
 impl Ramp {
-    /// Share of its capacity that a server has that started so long ago (microseconds).
+    /// Returns the share of its capacity that a server has at this age (microseconds).
     pub fn warmth(&self, age: i64) -> f64 {
         let part = (age as f64 / self.warm_up.max(1) as f64).clamp(0.0, 1.0);
         self.cold_from + (1.0 - self.cold_from) * part
     }
 }
 
-/// Calls that a budget of so many in the mean allows by chance, as the platform counts them.
-fn chance(budget: f64) -> f64 {
+/// Calls beyond a mean budget that the platform tolerates as random variation.
+fn random_allowance(budget: f64) -> f64 {
     if budget < 30.0 {
         3.0 * budget.sqrt() + 3.0
     } else {
@@ -56,53 +65,56 @@
     }
 }
 
-/// A smoothed rate of events.
+/// An exponentially smoothed rate of events.
 #[derive(Clone, Copy, Debug, Default)]
 struct Rate {
     count: f64,
-    at: i64,
-    since: Option<i64>,
+    updated_at: i64,
+    first_at: Option<i64>,
 }
 
 impl Rate {
-    fn event(&mut self, now: i64) {
-        self.count = self.faded(now) + 1.0;
-        self.at = now;
-        self.since.get_or_insert(now);
+    fn record(&mut self, now: i64) {
+        self.count = self.decayed_count(now) + 1.0;
+        self.updated_at = now;
+        self.first_at.get_or_insert(now);
     }
 
-    fn faded(&self, now: i64) -> f64 {
-        self.count * (-((now - self.at).max(0) as f64) / SMOOTHED).exp()
+    fn decayed_count(&self, now: i64) -> f64 {
+        self.count * (-((now - self.updated_at).max(0) as f64) / RATE_SMOOTHING_US).exp()
     }
 
-    /// Events a microsecond; what it has not seen yet of its time counts as the rest.
-    fn now(&self, now: i64) -> f64 {
-        let Some(since) = self.since else { return 0.0 };
-        let seen = 1.0 - (-((now - since).max(0) as f64) / SMOOTHED).exp();
-        self.faded(now) / (SMOOTHED * seen.max(0.05))
+    /// Returns the rate in events per microsecond. While less than the smoothing time has been
+    /// observed, the rate is extrapolated from the observed part.
+    fn per_us(&self, now: i64) -> f64 {
+        let Some(first_at) = self.first_at else { return 0.0 };
+        let observed_part = 1.0 - (-((now - first_at).max(0) as f64) / RATE_SMOOTHING_US).exp();
+        self.decayed_count(now) / (RATE_SMOOTHING_US * observed_part.max(0.05))
     }
 }
 
-/// The budgets of cold servers, as one sidecar keeps to them.
+/// The call budgets of cold servers, as one sidecar keeps to them.
 #[derive(Clone, Debug)]
 pub struct SlowStart {
     sidecars: f64,
     ramp: Ramp,
-    /// All own calls.
+    /// All calls of this sidecar.
     calls: Rate,
-    /// Answers of warm servers.
+    /// Answers of warm servers to this sidecar.
     served: Rate,
-    /// What a warm server of power 1 was seen to serve (answers of own calls a microsecond), and when.
-    carried: f64,
-    carried_at: i64,
-    /// The most power of warm servers together of late.
+    /// Estimated rate at which a warm server of power 1 answers this sidecar (answers per
+    /// microsecond).
+    warm_rate_per_power: f64,
+    /// Time of the last update of that estimate (microseconds).
+    observed_at: i64,
+    /// Recent peak of the total power of warm servers.
     warm_peak: f64,
-    /// When each cold server was sent calls within the span.
-    sent: HashMap<u64, VecDeque<i64>>,
+    /// Times of the recent calls to each cold server.
+    recent_calls: HashMap<u64, VecDeque<i64>>,
 }
 
 impl SlowStart {
-    /// The budgets of one of so many sidecars.
+    /// Creates the budgets of one sidecar in a fleet of `sidecars`.
     pub fn new(sidecars: usize, ramp: Ramp) -> SlowStart {
         let sidecars = sidecars.max(1) as f64;
         let (calls, served) = (Rate::default(), Rate::default());
@@ -111,94 +123,102 @@
             ramp,
             calls,
             served,
-            carried: 0.0,
-            carried_at: 0,
+            warm_rate_per_power: 0.0,
+            observed_at: 0,
             warm_peak: 0.0,
-            sent: HashMap::new(),
+            recent_calls: HashMap::new(),
         }
     }
 
-    /// How servers warm up.
+    /// Returns how servers warm up.
     pub fn ramp(&self) -> Ramp {
         self.ramp
     }
 
-    /// A warm server has answered an own call.
-    pub fn served(&mut self, now: i64) {
-        self.served.event(now);
+    /// Records that a warm server answered a call of this sidecar.
+    pub fn record_answer(&mut self, now: i64) {
+        self.served.record(now);
     }
 
-    /// A call goes out, to a server of this warmth.
-    pub fn sent(&mut self, now: i64, server: u64, warmth: f64) {
-        self.calls.event(now);
+    /// Records a call to a server with this warmth.
+    pub fn record_call(&mut self, now: i64, server: u64, warmth: f64) {
+        self.calls.record(now);
         if warmth >= 1.0 {
             return;
         }
-        if self.sent.len() >= MOST {
-            let oldest = now - self.ramp.span;
-            self.sent.retain(|_, calls| calls.back().is_some_and(|at| *at >= oldest));
+        if self.recent_calls.len() >= MAX_TRACKED_SERVERS {
+            let oldest = now - self.ramp.overload_span;
+            self.recent_calls.retain(|_, calls| calls.back().is_some_and(|at| *at >= oldest));
         }
-        self.sent.entry(server).or_default().push_back(now);
+        self.recent_calls.entry(server).or_default().push_back(now);
     }
 
-    /// Takes in how much power the warm servers have together, and all that are in service.
-    pub fn observe(&mut self, now: i64, warm_power: f64, power: f64) {
-        let passed = (now - self.carried_at).max(0) as f64;
-        self.carried_at = now;
-        self.warm_peak = (self.warm_peak * (-passed / FORGOTTEN).exp()).max(warm_power);
+    /// Updates the estimate with the total power of the warm servers and of all servers in service.
+    pub fn observe_power(&mut self, now: i64, warm_power: f64, power: f64) {
+        let elapsed = (now - self.observed_at).max(0) as f64;
+        self.observed_at = now;
+        self.warm_peak = (self.warm_peak * (-elapsed / FALL_TIME_US).exp()).max(warm_power);
         if warm_power > 0.0 {
-            let seen = self.served.now(now) / warm_power;
-            let time = match (seen > self.carried, warm_power >= ENOUGH * self.warm_peak) {
-                (true, true) => LEARNT.0,
-                (true, false) => LEARNT.1,
-                (false, _) => FORGOTTEN,
-            };
-            let gain = if self.carried > 0.0 { 1.0 - (-passed / time).exp() } else { 1.0 };
-            self.carried += (seen - self.carried) * gain;
-        } else if self.carried == 0.0 && power > 0.0 {
-            // Before any warm server was seen: as if all of them, once warm, would just bear what is asked.
-            self.carried = self.calls.now(now) / power;
+            let observed = self.served.per_us(now) / warm_power;
+            let time_constant =
+                match (observed > self.warm_rate_per_power, warm_power >= MIN_WARM_SHARE * self.warm_peak) {
+                    (true, true) => RISE_TIME_US,
+                    (true, false) => RISE_TIME_FEW_WARM_US,
+                    (false, _) => FALL_TIME_US,
+                };
+            let gain =
+                if self.warm_rate_per_power > 0.0 { 1.0 - (-elapsed / time_constant).exp() } else { 1.0 };
+            self.warm_rate_per_power += (observed - self.warm_rate_per_power) * gain;
+        } else if self.warm_rate_per_power == 0.0 && power > 0.0 {
+            // Before any warm server has been seen, assume that all servers, once warm, could just
+            // serve the current calls.
+            self.warm_rate_per_power = self.calls.per_us(now) / power;
         }
     }
 
-    /// The share of all own calls that a server of this warmth and power may get at most.
-    pub fn share(&self, now: i64, warmth: f64, power: f64) -> f64 {
-        let calls = self.calls.now(now) * self.ramp.span as f64;
-        if warmth >= 1.0 || self.carried <= 0.0 || calls <= 0.0 {
+    /// Returns the largest share of this sidecar's calls that a server with this warmth and power
+    /// may get.
+    pub fn max_share(&self, now: i64, warmth: f64, power: f64) -> f64 {
+        let calls = self.calls.per_us(now) * self.ramp.overload_span as f64;
+        if warmth >= 1.0 || self.warm_rate_per_power <= 0.0 || calls <= 0.0 {
             return 1.0;
         }
-        (CAUTION * self.part(warmth, power) / calls).min(1.0)
+        (RATE_SAFETY_FACTOR * self.own_budget(warmth, power) / calls).min(1.0)
     }
 
-    /// Whether a server of this warmth and power may be sent one more call within this sidecar's part of its budget. In
-    /// a large fleet that part is a call or so, and only [`SlowStart::share`] bounds it, in the mean over all.
-    pub fn allows(&mut self, now: i64, server: u64, warmth: f64, power: f64) -> bool {
-        let own = CAUTION * self.part(warmth, power);
-        // Whatever size is stated: few that are left of a large fleet carry its traffic, and the means of all add up.
-        if own < COUNTED && crate::sight(self.sidecars as usize) < 1.0 {
+    /// Whether one more call to a server with this warmth and power fits this sidecar's part of the
+    /// server's budget. In a large fleet that part is about one call, and only
+    /// [`SlowStart::max_share`] limits it, on average over all sidecars.
+    pub fn allows_call(&mut self, now: i64, server: u64, warmth: f64, power: f64) -> bool {
+        let own_calls = RATE_SAFETY_FACTOR * self.own_budget(warmth, power);
+        // The stated size of the fleet may be too large: the few sidecars left of a large fleet
+        // carry its whole traffic, and their mean shares add up.
+        if own_calls < MIN_COUNTED_BUDGET && crate::visibility(self.sidecars as usize) < 1.0 {
             return true;
         }
-        let budget = own + CHANCE * chance(own * self.sidecars) / self.sidecars;
-        self.fits(now, server, warmth, budget.max(1.0))
+        let budget =
+            own_calls + ALLOWANCE_FACTOR * random_allowance(own_calls * self.sidecars) / self.sidecars;
+        self.fits_budget(now, server, warmth, budget.max(1.0))
     }
 
-    /// Whether it may be sent one more call within the budget of all sidecars: beyond that one alone pushes it over.
-    pub fn fleet_allows(&mut self, now: i64, server: u64, warmth: f64, power: f64) -> bool {
-        let all = self.part(warmth, power) * self.sidecars;
-        self.fits(now, server, warmth, all + chance(all))
+    /// Whether one more call fits the budget of all sidecars together. Beyond it, this sidecar
+    /// alone would overload the server.
+    pub fn fleet_allows_call(&mut self, now: i64, server: u64, warmth: f64, power: f64) -> bool {
+        let fleet_calls = self.own_budget(warmth, power) * self.sidecars;
+        self.fits_budget(now, server, warmth, fleet_calls + random_allowance(fleet_calls))
     }
 
-    /// Calls that are one sidecar's part of what a server bears within the span.
-    fn part(&self, warmth: f64, power: f64) -> f64 {
-        self.ramp.fall_multiple * warmth * power * self.carried * self.ramp.span as f64
+    /// Returns one sidecar's part of the calls that a server tolerates within the span.
+    fn own_budget(&self, warmth: f64, power: f64) -> f64 {
+        self.ramp.fall_multiple * warmth * power * self.warm_rate_per_power * self.ramp.overload_span as f64
     }
 
-    fn fits(&mut self, now: i64, server: u64, warmth: f64, budget: f64) -> bool {
-        if warmth >= 1.0 || self.carried <= 0.0 {
+    fn fits_budget(&mut self, now: i64, server: u64, warmth: f64, budget: f64) -> bool {
+        if warmth >= 1.0 || self.warm_rate_per_power <= 0.0 {
             return true;
         }
-        let Some(calls) = self.sent.get_mut(&server) else { return true };
-        while calls.front().is_some_and(|at| now - at > self.ramp.span) {
+        let Some(calls) = self.recent_calls.get_mut(&server) else { return true };
+        while calls.front().is_some_and(|at| now - at > self.ramp.overload_span) {
             calls.pop_front();
         }
         calls.len() as f64 + 1.0 <= budget
--- a/crates/fleet/tests/list_lease.rs
+++ b/crates/fleet/tests/list_lease.rs
@@ -1,149 +1,163 @@
-//! How long a list may be acted on: after a start, while it is watched, and while discovery is away.
+//! How long a list may be used: after a start, while it is watched, and while discovery is
+//! unavailable.
 
-use roseproxy_fleet::list_lease::{Failure, LeaseTerms, ListLease};
+use roseproxy_fleet::list_lease::{DiscoveryFailure, LeaseTerms, ListLease};
 
 const GRACE: f64 = 750.0;
-const BEGAN: f64 = 1_000_000.0;
-const TOLD_WITHIN: f64 = 6_000.0;
+const STARTED_AT: f64 = 1_000_000.0;
+const NOTICE_TERM: f64 = 6_000.0;
 
 /// A lease where an instance without a watch must ask within this time (ms).
-fn kept_where(unwatched: f64) -> ListLease {
-    ListLease::of_kept_list(BEGAN, LeaseTerms { grace: GRACE, unwatched })
+fn kept_with(unwatched_ms: f64) -> ListLease {
+    ListLease::of_kept_list(STARTED_AT, LeaseTerms { grace_ms: GRACE, unwatched_ms })
 }
 
 fn kept() -> ListLease {
-    kept_where(10_000.0)
+    kept_with(10_000.0)
 }
 
 fn confirmed() -> ListLease {
     let mut lease = kept();
-    lease.confirmed(BEGAN);
+    lease.on_confirmed(STARTED_AT);
     lease
 }
 
-/// The times, counted from the start, at which the lease has expired.
+/// Whether the lease has expired at each of these times after the start.
 fn expired_at(lease: &ListLease, times: &[f64]) -> Vec<bool> {
-    times.iter().map(|after| lease.expired(BEGAN + after)).collect()
+    times.iter().map(|after| lease.is_expired(STARTED_AT + after)).collect()
 }
 
 #[test]
 fn a_kept_list_lasts_for_the_grace_and_makes_no_sidecar_ready() {
     let lease = kept();
     assert_eq!(expired_at(&lease, &[0.0, GRACE - 1.0, GRACE, 60_000.0]), [false, false, true, true]);
-    assert!(!lease.settled(BEGAN) && !lease.settled(BEGAN + 60_000.0), "no call has even failed");
-    assert!(confirmed().settled(BEGAN));
+    assert!(
+        !lease.is_settled(STARTED_AT) && !lease.is_settled(STARTED_AT + 60_000.0),
+        "no call has even failed"
+    );
+    assert!(confirmed().is_settled(STARTED_AT));
 }
 
 #[test]
-fn a_list_lasts_from_the_last_word_for_the_term_and_the_grace() {
+fn a_list_lasts_for_the_term_and_the_grace_after_the_last_confirmation() {
     let mut lease = confirmed();
-    lease.confirmed(BEGAN + 2_000.0);
-    let end = 2_000.0 + TOLD_WITHIN + GRACE;
+    lease.on_confirmed(STARTED_AT + 2_000.0);
+    let end = 2_000.0 + NOTICE_TERM + GRACE;
     assert_eq!(expired_at(&lease, &[end - 1.0, end]), [false, true]);
-    assert!(!lease.settled(BEGAN + end), "nor is the sidecar ready then");
-    assert_eq!(lease.age(BEGAN + end), TOLD_WITHIN + GRACE);
+    assert!(!lease.is_settled(STARTED_AT + end), "the sidecar is not ready then");
+    assert_eq!(lease.age(STARTED_AT + end), NOTICE_TERM + GRACE);
 }
 
-/// The service must go on while nobody can be told anything: for as long as calls fail, and while the next one is out.
+/// The service must continue while discovery cannot notify any sidecar: as long as calls fail, and
+/// while the next one is open.
 #[test]
 fn a_list_lasts_while_discovery_is_away() {
-    for failure in [Failure::Unreachable, Failure::Unanswered] {
+    for failure in [DiscoveryFailure::Unreachable, DiscoveryFailure::Unanswered] {
         let mut lease = confirmed();
-        lease.failed(BEGAN + 5_000.0, Failure::WatchEnded);
-        lease.failed(BEGAN + 6_000.0, failure);
-        assert_eq!(expired_at(&lease, &[TOLD_WITHIN + GRACE, 600_000.0]), [false, false], "{failure:?}");
-        lease.call_started(BEGAN + 600_000.0);
-        let end = 600_000.0 + TOLD_WITHIN + GRACE;
-        assert_eq!(expired_at(&lease, &[end - 1.0, end]), [false, true], "a call that brings nothing");
-        lease.confirmed(BEGAN + end);
-        assert!(!lease.expired(BEGAN + end));
+        lease.on_failure(STARTED_AT + 5_000.0, DiscoveryFailure::WatchEnded);
+        lease.on_failure(STARTED_AT + 6_000.0, failure);
+        assert_eq!(expired_at(&lease, &[NOTICE_TERM + GRACE, 600_000.0]), [false, false], "{failure:?}");
+        lease.on_call_started(STARTED_AT + 600_000.0);
+        let end = 600_000.0 + NOTICE_TERM + GRACE;
+        assert_eq!(expired_at(&lease, &[end - 1.0, end]), [false, true], "a call without a result");
+        lease.on_confirmed(STARTED_AT + end);
+        assert!(!lease.is_expired(STARTED_AT + end));
     }
 }
 
-/// A call that gets no answer may have been lost on its way to a discovery that is there: one that was given up leaves the
-/// term as it is, and only a second failure in a row tells of an absence.
+/// An unanswered call may have been lost on its way to an available discovery: the first one leaves
+/// the term unchanged, and only a second failure in a row means that discovery is unavailable.
 #[test]
-fn one_call_without_an_answer_tells_of_no_absence() {
-    for second in [Failure::NoAnswer, Failure::Unanswered, Failure::Unreachable] {
+fn one_unanswered_call_does_not_mean_that_discovery_is_unavailable() {
+    for second in [DiscoveryFailure::NoAnswer, DiscoveryFailure::Unanswered, DiscoveryFailure::Unreachable] {
         let mut lease = confirmed();
-        lease.failed(BEGAN + 6_000.0, Failure::NoAnswer);
-        assert_eq!(expired_at(&lease, &[TOLD_WITHIN + GRACE]), [true], "{second:?}");
-        lease.failed(BEGAN + 9_000.0, second);
+        lease.on_failure(STARTED_AT + 6_000.0, DiscoveryFailure::NoAnswer);
+        assert_eq!(expired_at(&lease, &[NOTICE_TERM + GRACE]), [true], "{second:?}");
+        lease.on_failure(STARTED_AT + 9_000.0, second);
         assert_eq!(expired_at(&lease, &[9_000.0, 600_000.0]), [false, false], "{second:?}");
-        lease.confirmed(BEGAN + 10_000.0);
-        lease.failed(BEGAN + 16_000.0, Failure::NoAnswer);
-        assert_eq!(lease.expires_at(), Some(BEGAN + 10_000.0 + TOLD_WITHIN + GRACE), "the count begins anew");
+        lease.on_confirmed(STARTED_AT + 10_000.0);
+        lease.on_failure(STARTED_AT + 16_000.0, DiscoveryFailure::NoAnswer);
+        assert_eq!(
+            lease.expires_at(),
+            Some(STARTED_AT + 10_000.0 + NOTICE_TERM + GRACE),
+            "the count starts again"
+        );
     }
 }
 
-/// A call that was reached and turned away may have met a crowd after a start of the whole fleet.
+/// A call that was rejected may have met an overload after a start of the whole fleet.
 #[test]
-fn after_a_start_an_absence_is_believed_at_once_only_where_no_connection_came_up() {
+fn after_a_start_discovery_counts_as_unavailable_at_once_only_without_a_connection() {
     let mut cut_off = kept();
-    cut_off.failed(BEGAN + 2_000.0, Failure::Unreachable);
-    assert!(cut_off.settled(BEGAN + 2_000.0));
+    cut_off.on_failure(STARTED_AT + 2_000.0, DiscoveryFailure::Unreachable);
+    assert!(cut_off.is_settled(STARTED_AT + 2_000.0));
     let mut turned_away = kept();
-    turned_away.failed(BEGAN + 2_000.0, Failure::Unanswered);
+    turned_away.on_failure(STARTED_AT + 2_000.0, DiscoveryFailure::Unanswered);
     assert_eq!(expired_at(&turned_away, &[2_000.0, 4_999.0, 5_000.0]), [true, true, false]);
-    assert_eq!(turned_away.next_change(BEGAN + 2_000.0), Some(BEGAN + 5_000.0));
-    assert_eq!(turned_away.expired_since(BEGAN + 4_999.0), Some(BEGAN + GRACE));
-    assert_eq!(turned_away.expired_since(BEGAN + 5_000.0), None);
-    assert!(!turned_away.settled(BEGAN + 4_999.0) && turned_away.settled(BEGAN + 5_000.0));
+    assert_eq!(turned_away.next_change(STARTED_AT + 2_000.0), Some(STARTED_AT + 5_000.0));
+    assert_eq!(turned_away.expired_since(STARTED_AT + 4_999.0), Some(STARTED_AT + GRACE));
+    assert_eq!(turned_away.expired_since(STARTED_AT + 5_000.0), None);
+    assert!(!turned_away.is_settled(STARTED_AT + 4_999.0) && turned_away.is_settled(STARTED_AT + 5_000.0));
     let mut late = kept();
-    late.failed(BEGAN + 6_000.0, Failure::Unanswered);
-    assert!(late.settled(BEGAN + 6_000.0));
+    late.on_failure(STARTED_AT + 6_000.0, DiscoveryFailure::Unanswered);
+    assert!(late.is_settled(STARTED_AT + 6_000.0));
 }
 
-/// What a start was excused for holds no longer than until discovery is heard of.
+/// The exception for a start without discovery holds only until the first confirmation.
 #[test]
-fn a_start_before_an_absent_discovery_ends_with_its_first_word() {
-    for failure in [Failure::Unanswered, Failure::NoAnswer] {
+fn a_start_without_discovery_ends_with_the_first_confirmation() {
+    for failure in [DiscoveryFailure::Unanswered, DiscoveryFailure::NoAnswer] {
         let mut lease = kept();
-        lease.failed(BEGAN + 8_000.0, failure);
-        assert!(lease.settled(BEGAN + 8_000.0), "{failure:?}");
-        lease.confirmed(BEGAN + 9_000.0);
-        let end = 9_000.0 + TOLD_WITHIN + GRACE;
+        lease.on_failure(STARTED_AT + 8_000.0, failure);
+        assert!(lease.is_settled(STARTED_AT + 8_000.0), "{failure:?}");
+        lease.on_confirmed(STARTED_AT + 9_000.0);
+        let end = 9_000.0 + NOTICE_TERM + GRACE;
         assert_eq!(expired_at(&lease, &[end - 1.0, end]), [false, true], "{failure:?}");
     }
 }
 
 #[test]
-fn a_move_ends_what_an_absence_or_another_discovery_allowed() {
+fn a_move_limits_a_lease_granted_before_it() {
     let mut watching = confirmed();
-    watching.moved(BEGAN + 1_000.0);
-    assert_eq!(watching.expires_at(), Some(BEGAN + 1_000.0 + 4_000.0 + GRACE));
-    watching.moved(BEGAN + 2_000.0);
-    assert_eq!(watching.expires_at(), Some(BEGAN + 1_000.0 + 4_000.0 + GRACE), "a later move allows no more");
-    let mut away = confirmed();
-    away.failed(BEGAN, Failure::Unreachable);
-    assert_eq!(away.expires_at(), None);
-    away.moved(BEGAN + 1_000.0);
-    assert_eq!(away.expires_at(), Some(BEGAN + 1_000.0 + 4_000.0 + GRACE));
+    watching.on_moved(STARTED_AT + 1_000.0);
+    assert_eq!(watching.expires_at(), Some(STARTED_AT + 1_000.0 + 4_000.0 + GRACE));
+    watching.on_moved(STARTED_AT + 2_000.0);
+    assert_eq!(
+        watching.expires_at(),
+        Some(STARTED_AT + 1_000.0 + 4_000.0 + GRACE),
+        "a later move allows no more"
+    );
+    let mut unavailable = confirmed();
+    unavailable.on_failure(STARTED_AT, DiscoveryFailure::Unreachable);
+    assert_eq!(unavailable.expires_at(), None);
+    unavailable.on_moved(STARTED_AT + 1_000.0);
+    assert_eq!(unavailable.expires_at(), Some(STARTED_AT + 1_000.0 + 4_000.0 + GRACE));
 }
 
-/// A change counts as told within the time for asking, where that is shorter than the term.
+/// A change counts as told within the time for asking, if that is shorter than the term.
 #[test]
-fn a_watch_that_ends_leaves_the_time_for_asking() {
-    for (ask_within, left) in [(2_000.0, 2_000.0), (60_000.0, TOLD_WITHIN), (-1.0, 0.0)] {
-        let mut lease = kept_where(ask_within);
-        lease.confirmed(BEGAN);
-        lease.failed(BEGAN, Failure::WatchEnded);
-        assert_eq!(lease.expires_at(), Some(BEGAN + left + GRACE), "{ask_within}");
+fn the_end_of_a_watch_leaves_the_time_for_asking() {
+    for (ask_within, left) in [(2_000.0, 2_000.0), (60_000.0, NOTICE_TERM), (-1.0, 0.0)] {
+        let mut lease = kept_with(ask_within);
+        lease.on_confirmed(STARTED_AT);
+        lease.on_failure(STARTED_AT, DiscoveryFailure::WatchEnded);
+        assert_eq!(lease.expires_at(), Some(STARTED_AT + left + GRACE), "{ask_within}");
     }
 }
 
-/// What the agent of the own machine has counts as told at once, also when its watch has ended.
+/// A change that the agent on the same machine has counts as told at once, even when its watch has
+/// ended.
 #[test]
-fn a_watch_on_an_agent_that_ends_leaves_the_grace() {
-    let mut pushed = kept_where(0.0);
-    pushed.confirmed(BEGAN);
+fn the_end_of_a_watch_on_a_local_agent_leaves_the_grace() {
+    let mut pushed = kept_with(0.0);
+    pushed.on_confirmed(STARTED_AT);
     assert_eq!(
         pushed.expires_at(),
-        Some(BEGAN + TOLD_WITHIN + GRACE),
-        "silence has the same clock everywhere"
+        Some(STARTED_AT + NOTICE_TERM + GRACE),
+        "silence is limited by the same term everywhere"
     );
-    pushed.failed(BEGAN + 1_000.0, Failure::WatchEnded);
-    assert_eq!(pushed.expires_at(), Some(BEGAN + 1_000.0 + GRACE));
-    pushed.failed(BEGAN + 1_010.0, Failure::Unreachable);
+    pushed.on_failure(STARTED_AT + 1_000.0, DiscoveryFailure::WatchEnded);
+    assert_eq!(pushed.expires_at(), Some(STARTED_AT + 1_000.0 + GRACE));
+    pushed.on_failure(STARTED_AT + 1_010.0, DiscoveryFailure::Unreachable);
     assert_eq!(pushed.expires_at(), None);
 }
--- a/crates/routing/src/discovery.rs
+++ b/crates/routing/src/discovery.rs
@@ -4,7 +4,7 @@
 use super::timers::Due;
 use super::{time, EventKind, Host};
 use roseproxy_decision::interface::{Event, Update};
-use roseproxy_fleet::list_lease::{Failure, LeaseTerms, ListLease};
+use roseproxy_fleet::list_lease::{DiscoveryFailure, LeaseTerms, ListLease};
 use std::fmt;
 
 /// How a call to discovery, or the watch that it opened, ended.
@@ -50,12 +50,12 @@
     }
 
     /// What it tells of whether discovery is there; `None` where it tells nothing.
-    fn failure(self) -> Option<Failure> {
+    fn failure(self) -> Option<DiscoveryFailure> {
         match self {
-            CallEnd::Unreachable => Some(Failure::Unreachable),
-            CallEnd::NoAnswer => Some(Failure::NoAnswer),
-            CallEnd::TurnedAway | CallEnd::Broken | CallEnd::Unreadable => Some(Failure::Unanswered),
-            CallEnd::WatchEnded => Some(Failure::WatchEnded),
+            CallEnd::Unreachable => Some(DiscoveryFailure::Unreachable),
+            CallEnd::NoAnswer => Some(DiscoveryFailure::NoAnswer),
+            CallEnd::TurnedAway | CallEnd::Broken | CallEnd::Unreadable => Some(DiscoveryFailure::Unanswered),
+            CallEnd::WatchEnded => Some(DiscoveryFailure::WatchEnded),
             CallEnd::NotMade | CallEnd::WatchSilent | CallEnd::Moved => None,
         }
     }
@@ -131,26 +131,26 @@
     pub fn follow_discovery(&mut self, now: f64, began: f64) {
         let asked = self.settings.must_subscribe;
         let unwatched = if asked { time::to_millis(self.settings.ask_within) } else { 0.0 };
-        let terms = LeaseTerms { grace: self.notice_grace(), unwatched };
+        let terms = LeaseTerms { grace_ms: self.notice_grace(), unwatched_ms: unwatched };
         self.lease = Some(ListLease::of_kept_list(began, terms));
         self.watch_lease(now);
     }
 
     /// Discovery has told of a change, or that there is none.
     pub fn list_confirmed(&mut self, now: f64) {
-        self.change_lease(now, |lease| lease.confirmed(now));
+        self.change_lease(now, |lease| lease.on_confirmed(now));
     }
 
     /// A call to discovery goes out, for the changes after this revision, or for the whole list.
     pub fn call_started(&mut self, now: f64, revision: Option<u64>) {
         self.book.calls += 1;
         self.discovery_event(now, DiscoveryEvent::CallStarted(revision));
-        self.change_lease(now, |lease| lease.call_started(now));
+        self.change_lease(now, |lease| lease.on_call_started(now));
     }
 
     /// Whether the list in hand is too old to be acted on.
     pub(super) fn list_expired(&self, now: f64) -> bool {
-        self.lease.as_ref().is_some_and(|lease| lease.expired(now))
+        self.lease.as_ref().is_some_and(|lease| lease.is_expired(now))
     }
 
     /// For how long the list in hand has been too old to be acted on (ms); 0 while it may be.
@@ -161,7 +161,7 @@
 
     /// Whether discovery has confirmed the list since the start, or is away, and the list may be acted on.
     pub(super) fn list_settled(&self, now: f64) -> bool {
-        self.lease.as_ref().is_none_or(|lease| lease.settled(now))
+        self.lease.as_ref().is_none_or(|lease| lease.is_settled(now))
     }
 
     /// How long ago discovery has confirmed the list in hand (ms).
@@ -185,7 +185,7 @@
     /// Has the lease looked at when it ends, and records where it has ended or begun anew.
     pub(super) fn watch_lease(&mut self, now: f64) {
         let Some(lease) = self.lease.as_ref() else { return };
-        let (expired, age) = (lease.expired(now), lease.age(now));
+        let (expired, age) = (lease.is_expired(now), lease.age(now));
         if let Some(change) = lease.next_change(now) {
             self.timers.set(change, Due::ListLease);
         }
@@ -201,11 +201,11 @@
         self.book.list_failures += 1;
         self.book.call_ended(end);
         if let Some(failure) = end.failure() {
-            self.change_lease(now, |lease| lease.failed(now, failure));
+            self.change_lease(now, |lease| lease.on_failure(now, failure));
         }
         if !self.settings.must_subscribe {
             // The module asks for no list where they are pushed.
-            let pause = time::to_millis(self.pushed_calls.failed());
+            let pause = time::to_millis(self.pushed_calls.on_failure());
             self.timers.set(now + pause, Due::Watch);
         }
         self.tell(now, Event::Servers { update: Update::Failed, servers: &[] });
@@ -216,7 +216,7 @@
         if calling {
             self.book.call_ended(CallEnd::Moved);
         }
-        self.change_lease(now, |lease| lease.moved(now));
+        self.change_lease(now, |lease| lease.on_moved(now));
     }
 
     /// The watch ended so, and is opened anew without a pause; the list in hand stays.
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -33,7 +33,7 @@
 use flow::{FlowId, ForwardId, Order, Target};
 use roseproxy_decision::interface::{Action, ClassId, Micros, Outcome, Readiness, ServerId, Settings};
 use roseproxy_decision::policy::Balancer;
-use roseproxy_fleet::calls::PushedCalls;
+use roseproxy_fleet::discovery_calls::PushBackoff;
 use roseproxy_fleet::list_lease::ListLease;
 use roseproxy_fleet::slow_start::SlowStart;
 use std::collections::{HashMap, VecDeque};
@@ -114,7 +114,7 @@
     last_flow: FlowId,
     last_probe: u64,
     /// Where lists are pushed: the pauses between calls to discovery.
-    pushed_calls: PushedCalls,
+    pushed_calls: PushBackoff,
     /// How long the list in hand may be acted on; `None` where nobody follows discovery.
     lease: Option<ListLease>,
     /// Whether it had expired when it was looked at last.
@@ -157,7 +157,7 @@
             orders: first.into_iter().collect(),
             last_flow: 0,
             last_probe: 0,
-            pushed_calls: PushedCalls::default(),
+            pushed_calls: PushBackoff::default(),
             lease: None,
             list_was_expired: false,
             book: Book::default(),
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -26,7 +26,7 @@
             self.observe_warm_endpoints(now);
         }
         let Some((warmth, power)) = self.warmth(now, endpoint) else { return Ok(()) };
-        match self.slow_start.fleet_allows(time::to_micros(now), endpoint.0, warmth, power) {
+        match self.slow_start.fleet_allows_call(time::to_micros(now), endpoint.0, warmth, power) {
             true => Ok(()),
             false => Err(Withheld::SlowStart),
         }
@@ -35,14 +35,14 @@
     /// A call is sent to an endpoint.
     pub(super) fn note_call(&mut self, now: f64, endpoint: ServerId) {
         if let Some((warmth, _)) = self.warmth(now, endpoint) {
-            self.slow_start.sent(time::to_micros(now), endpoint.0, warmth);
+            self.slow_start.record_call(time::to_micros(now), endpoint.0, warmth);
         }
     }
 
     /// An endpoint has answered a call.
     pub(super) fn note_served(&mut self, now: f64, endpoint: ServerId) {
         if self.warmth(now, endpoint).is_some_and(|(warmth, _)| warmth >= 1.0) {
-            self.slow_start.served(time::to_micros(now));
+            self.slow_start.record_answer(time::to_micros(now));
         }
     }
 
@@ -61,6 +61,6 @@
             }
         }
         let [warm_power, all_power] = [warm_power, all_power].map(|units| units as f64 / POWER_UNITS);
-        self.slow_start.observe(time::to_micros(now), warm_power, all_power);
+        self.slow_start.observe_power(time::to_micros(now), warm_power, all_power);
     }
 }
--- a/crates/routing/src/take_in.rs
+++ b/crates/routing/src/take_in.rs
@@ -42,7 +42,7 @@
     /// News of the target group. Only a complete list removes those that it does not name.
     pub fn targets(&mut self, now: f64, update: Update, targets: &[Target]) {
         self.book.lists += 1;
-        self.pushed_calls.received();
+        self.pushed_calls.on_list();
         if update == Update::Complete {
             let named: std::collections::HashSet<_> = targets.iter().map(|t| t.id).collect();
             let absent = self.members.values_mut().filter(|m| !named.contains(&m.target.id));
