--- a/crates/capacity/src/lists.rs
+++ b/crates/capacity/src/lists.rs
@@ -103,10 +103,11 @@
     };
     let host = || {
         let mut host = Host::new(settings(options.sidecars, false), 7, 0.0);
-        host.targets(0.0, Update::Complete, &all);
+        host.update_targets(0.0, Update::Complete, &all);
         host
     };
-    let hosted = |update, targets: &[Target]| timed(runs, host, |h| h.targets(1_000.0, update, targets));
+    let hosted =
+        |update, targets: &[Target]| timed(runs, host, |h| h.update_targets(1_000.0, update, targets));
     Ok(Steps {
         endpoints,
         bytes: (whole.len(), change.len()),
--- a/crates/fleet/src/discovery_calls.rs
+++ b/crates/fleet/src/discovery_calls.rs
@@ -28,7 +28,7 @@
 /// Upper limit of that contribution, which doubles with each failure (microseconds).
 const MAX_WINDOW_PER_SIDECAR_US: f64 = 350e3;
 /// Contribution of each sidecar to the spread of the first calls after a start (microseconds). It
-/// is short because the list in hand is old and no request is served from it before that call.
+/// is short because the current list is old and no request is served from it before that call.
 const FIRST_CALL_SPREAD_PER_SIDECAR_US: f64 = 20e3;
 /// Minimum window of the next call, as a share of the time within which an instance without a watch
 /// must ask. It doubles with each of the first two failures.
--- a/crates/fleet/tests/discovery_calls.rs
+++ b/crates/fleet/tests/discovery_calls.rs
@@ -127,7 +127,7 @@
 /// When all calls were open for longer than the period, their spread is lost and the next calls are
 /// spread again.
 #[test]
-fn calls_that_were_out_for_longer_than_the_period_are_spread_anew() {
+fn calls_that_were_open_for_longer_than_the_period_are_spread_again() {
     let next_wait = |seed| {
         let mut caller = Caller::watching(1_000, seed);
         let wait = caller.end_watch();
@@ -238,7 +238,7 @@
 /// Watches that were opened one after another and all end soon afterwards are reopened in the same
 /// order.
 #[test]
-fn a_watch_that_ends_soon_after_its_call_keeps_its_turn() {
+fn a_watch_that_ends_soon_after_its_call_keeps_its_phase() {
     let mut caller = Caller::watching(1_000, 3);
     let wait = caller.end_watch();
     caller.succeed_call(wait);
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn how_long_a_call_took_tells_overload_from_absence() {
+fn the_duration_of_a_call_distinguishes_overload_from_unavailability() {
     use CallFailure::{Overloaded, Unavailable};
     let all = [REFUSAL, CONNECT_TIMEOUT, QUEUE_TIMEOUT, RESPONSE_TIMEOUT].map(CallFailure::from_elapsed);
     assert_eq!(all, [Unavailable, Unavailable, Overloaded, Overloaded]);
@@ -294,7 +294,7 @@
 }
 
 #[test]
-fn pushed_lists_are_called_for_soon_and_at_most_five_times_a_second() {
+fn calls_for_pushed_lists_back_off_to_five_a_second() {
     let mut backoff = PushBackoff::default();
     let pauses = [(); 6].map(|()| backoff.on_failure());
     assert_eq!(pauses, [25_000, 50_000, 100_000, 200_000, 200_000, 200_000]);
--- a/crates/lab/src/in_process.rs
+++ b/crates/lab/src/in_process.rs
@@ -7,7 +7,7 @@
 use roseproxy_emulator::fabric::Fabric;
 use roseproxy_emulator::memory::{Memory, MemoryListener, MemoryStream, Waiting};
 use roseproxy_emulator::world::Signal;
-use roseproxy_routing::decide::Decider;
+use roseproxy_routing::decider::Decider;
 use roseproxy_transport::network::{Network, Peek, Unread};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
--- a/crates/lab/src/recorded.rs
+++ b/crates/lab/src/recorded.rs
@@ -2,7 +2,7 @@
 
 use roseproxy_decision::interface::{Action, Event, Micros};
 use roseproxy_decision::picture::Picture;
-use roseproxy_routing::decide::Decider;
+use roseproxy_routing::decider::Decider;
 use std::cell::RefCell;
 use std::rc::Rc;
 
--- a/crates/lab/src/strategies.rs
+++ b/crates/lab/src/strategies.rs
@@ -8,7 +8,7 @@
 use roseproxy_decision::interface::{
     Action, Effect, Event, GiveUpReason, Micros, Outcome, Readiness, RequestId, ServerId, Settings, Update,
 };
-use roseproxy_routing::decide::Decider;
+use roseproxy_routing::decider::Decider;
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
--- a/crates/lab/src/virtual_time.rs
+++ b/crates/lab/src/virtual_time.rs
@@ -15,7 +15,7 @@
 use roseproxy_emulator::plan::Plan;
 use roseproxy_emulator::world::{Addresses, Sidecars, Signal, World};
 use roseproxy_platform::wire::tag;
-use roseproxy_routing::decide::Decider;
+use roseproxy_routing::decider::Decider;
 use roseproxy_routing::time::to_micros;
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
--- a/crates/lab/tests/discovery_return.rs
+++ b/crates/lab/tests/discovery_return.rs
@@ -158,7 +158,7 @@
         let (id, readiness) = (ServerId(1), Readiness::Ready);
         let target =
             Target { id, address, zone: 0, cell: 0, kind: 0, power: 1.0, started_at: None, readiness };
-        self.hosts[number].targets(now * 1e3, update, &[target]);
+        self.hosts[number].update_targets(now * 1e3, update, &[target]);
     }
 
     /// Carries out what a host has ordered, and plans its next timer.
@@ -169,7 +169,7 @@
                 self.plan(at, number, if answered { Event::Answered } else { Event::CallFailed });
             }
         }
-        if let Some(due) = self.hosts[number].next_due() {
+        if let Some(due) = self.hosts[number].next_timer() {
             self.plan(due / 1e3, number, Event::Timer);
         }
     }
@@ -186,8 +186,8 @@
             }
             match event {
                 Event::Timer => self.hosts[number].tick(now * 1e3),
-                Event::WatchEnds => self.hosts[number].targets_failed(now * 1e3, CallEnd::WatchEnded),
-                Event::CallFailed => self.hosts[number].targets_failed(now * 1e3, CallEnd::TurnedAway),
+                Event::WatchEnds => self.hosts[number].discovery_failed(now * 1e3, CallEnd::WatchEnded),
+                Event::CallFailed => self.hosts[number].discovery_failed(now * 1e3, CallEnd::TurnedAway),
                 Event::Answered => {
                     self.list(now, number, Update::Changes);
                     if now > OUTAGE {
--- a/crates/platform/src/outcome.rs
+++ b/crates/platform/src/outcome.rs
@@ -14,14 +14,14 @@
     let not_started = headers.get(NOT_STARTED).is_some_and(|v| v.as_bytes() == b"1");
     match status {
         StatusCode::OK => ForwardEnd::Served(body),
-        _ if turned_away && not_started => ForwardEnd::Lost(Outcome::Rejected),
+        _ if turned_away && not_started => ForwardEnd::Failed(Outcome::Rejected),
         // Whatever it is, nothing proves that the request never ran.
-        _ => ForwardEnd::Lost(Outcome::Error),
+        _ => ForwardEnd::Failed(Outcome::Error),
     }
 }
 
 /// The end of a forward whose connection broke. Only the request's last byte makes it one that may
 /// have run: a target begins no sooner.
 pub fn of_break(last_byte_written: bool) -> ForwardEnd {
-    ForwardEnd::Lost(if last_byte_written { Outcome::Broken } else { Outcome::Unreachable })
+    ForwardEnd::Failed(if last_byte_written { Outcome::Broken } else { Outcome::Unreachable })
 }
--- a/crates/roseproxy/src/start.rs
+++ b/crates/roseproxy/src/start.rs
@@ -5,7 +5,7 @@
 use super::signals::{Asked, Asking};
 use super::{counters, shutdown, startup, Clock};
 use roseproxy_platform::request::Classes;
-use roseproxy_routing::decide::Decider;
+use roseproxy_routing::decider::Decider;
 use roseproxy_routing::Host;
 use roseproxy_transport::budget::Budget;
 use roseproxy_transport::discovery::Watcher;
@@ -46,7 +46,7 @@
     let classes = Classes::new(config.dialect.clone(), config.settings.classes.clone());
     let host = match decider {
         None => Host::new(config.settings.clone(), config.seed, clock.now()),
-        Some(decider) => Host::with(config.settings.clone(), decider),
+        Some(decider) => Host::with_decider(config.settings.clone(), decider),
     };
     let (clients, targets) = Budget::share(config.sockets);
     let gateway = Gateway::new(network, host, classes, targets, clock.reader());
--- a/crates/roseproxy/tests/common/cold_fleet.rs
+++ b/crates/roseproxy/tests/common/cold_fleet.rs
@@ -236,7 +236,7 @@
     pub fn tell(&mut self, update: Update) {
         let targets: Vec<Target> = self.servers.values().map(|server| server.target.clone()).collect();
         for host in 0..self.hosts.len() {
-            self.hosts[host].targets(self.now, update, &targets);
+            self.hosts[host].update_targets(self.now, update, &targets);
             self.settle(host);
         }
     }
@@ -253,7 +253,7 @@
     pub fn run(&mut self, until: f64) {
         let until = EPOCH + until;
         loop {
-            let due = self.hosts.iter().enumerate().filter_map(|(i, host)| Some((host.next_due()?, i)));
+            let due = self.hosts.iter().enumerate().filter_map(|(i, host)| Some((host.next_timer()?, i)));
             let due = due.min_by(|a, b| a.0.total_cmp(&b.0));
             let next = self.schedule.next_at();
             let tick = due.filter(|(at, _)| *at <= next);
@@ -281,7 +281,7 @@
                 self.release(server);
                 self.end(host, id, ForwardEnd::Served(bytes::Bytes::from_static(b"priced")));
             }
-            Event::Lost { host, id, outcome } => self.end(host, id, ForwardEnd::Lost(outcome)),
+            Event::Lost { host, id, outcome } => self.end(host, id, ForwardEnd::Failed(outcome)),
             Event::Probed { host, server } => {
                 let load = self.servers.get(&server).filter(|s| s.up).map(Server::load);
                 let outcome = if load.is_some() { Outcome::Served } else { Outcome::Unreachable };
@@ -301,7 +301,7 @@
         let host = if draw < count { draw } else { (draw - count) % busy };
         let key = self.random.key();
         let new = NewFlow { class: 0, tenant: None, key: Some(key), time_left: PATIENCE };
-        self.hosts[host].take_in(self.now, new);
+        self.hosts[host].accept_request(self.now, new);
         self.settle(host);
     }
 
@@ -338,7 +338,7 @@
     fn forward(&mut self, host: usize, id: ForwardId, target: ServerId) {
         self.out.insert((host, id));
         if self.hosts[host].begin_write(self.now, id).is_none() {
-            return self.end(host, id, ForwardEnd::Lost(Outcome::NotSent));
+            return self.end(host, id, ForwardEnd::Failed(Outcome::NotSent));
         }
         let work = WORK * (0.5 + self.random.uniform());
         let (arrives, returns) = (self.now + TRIP, self.now + 2.0 * TRIP);
--- a/crates/roseproxy/tests/crossings.rs
+++ b/crates/roseproxy/tests/crossings.rs
@@ -8,7 +8,7 @@
 use roseproxy::signals::Asked;
 use roseproxy::{config::Config, Clock};
 use roseproxy_decision::interface::{Action, Event, Micros};
-use roseproxy_routing::decide::Decider;
+use roseproxy_routing::decider::Decider;
 use roseproxy_routing::Host;
 use roseproxy_transport::listener::Phase;
 use roseproxy_transport::network::Tcp;
@@ -454,7 +454,7 @@
 fn a_wish_for_a_watch_that_is_open_starts_no_other() {
     scene(async {
         let ((socket, address), config) = (port().await, config());
-        let host = Host::with(config.settings.clone(), Box::new(Wishes));
+        let host = Host::with_decider(config.settings.clone(), Box::new(Wishes));
         let sidecar = sidecar_of(Tcp, host, config, Clock::system(), &[], 8, 20).await;
         watching(&sidecar, address, Some(1));
         let _client = asks(sidecar.address, &request("quote", "1", "")).await;
@@ -546,7 +546,7 @@
 fn a_silent_watch_is_opened_anew_without_a_pause() {
     timeless(async {
         let ((socket, address), config) = (port().await, config());
-        let host = Host::with(config.settings.clone(), Box::new(Wishes));
+        let host = Host::with_decider(config.settings.clone(), Box::new(Wishes));
         let sidecar = sidecar_of(Tcp, host, config, Clock::system(), &[], 8, 20).await;
         watching(&sidecar, address, Some(1));
         let _client = asks(sidecar.address, &request("quote", "1", "")).await;
--- a/crates/roseproxy/tests/late_writes.rs
+++ b/crates/roseproxy/tests/late_writes.rs
@@ -6,7 +6,7 @@
 use common::*;
 use roseproxy::Clock;
 use roseproxy_decision::interface::{Action, Event, Micros, Outcome, ServerId};
-use roseproxy_routing::decide::Decider;
+use roseproxy_routing::decider::Decider;
 use roseproxy_routing::Host;
 use roseproxy_transport::network::Tcp;
 use std::cell::RefCell;
@@ -102,7 +102,7 @@
     let held: Meanwhile = Rc::default();
     let (config, clock) = (config(), Clock::system());
     let decider = HoldsUp { server: None, meanwhile: held.clone() };
-    let host = Host::with(config.settings.clone(), Box::new(decider));
+    let host = Host::with_decider(config.settings.clone(), Box::new(decider));
     let sidecar = sidecar_of(Tcp, host, config, clock, &[address], 20, 20).await;
     let mut first = TcpStream::connect(sidecar.address).await.expect("connects");
     ask(&mut first, &request("place-order", "before", "b")).await;
--- a/crates/roseproxy/tests/protocol.rs
+++ b/crates/roseproxy/tests/protocol.rs
@@ -103,12 +103,12 @@
         outcome::of_answer(StatusCode::from_u16(status).expect("a status"), &headers, Bytes::new())
     };
     assert_eq!(end(200, false), ForwardEnd::Served(Bytes::new()));
-    assert_eq!(end(503, true), ForwardEnd::Lost(Outcome::Rejected));
-    assert_eq!(end(504, true), ForwardEnd::Lost(Outcome::Rejected));
+    assert_eq!(end(503, true), ForwardEnd::Failed(Outcome::Rejected));
+    assert_eq!(end(504, true), ForwardEnd::Failed(Outcome::Rejected));
     for (status, not_started) in
         [(500, false), (500, true), (503, false), (504, false), (404, true), (204, false)]
     {
-        assert_eq!(end(status, not_started), ForwardEnd::Lost(Outcome::Error), "{status}");
+        assert_eq!(end(status, not_started), ForwardEnd::Failed(Outcome::Error), "{status}");
     }
     assert_eq!(outcome::of_break(true).outcome(), Outcome::Broken);
     assert_eq!(outcome::of_break(false).outcome(), Outcome::Unreachable);
--- a/crates/routing/src/decide.rs
+++ b/crates/routing/src/decider.rs
@@ -1,18 +1,18 @@
-//! The seam at the host: who decides.
+//! Interface between the host and the component that makes routing decisions.
 //!
-//! In service that is always the decision module. The laboratory puts yardsticks in its place, so that
-//! the rest of the sidecar stays the same in every comparison.
+//! In production that is always the decision module. The laboratory substitutes reference
+//! strategies, so that the rest of the sidecar stays the same in every comparison.
 
 use roseproxy_decision::interface::{Action, Event, Micros};
 use roseproxy_decision::picture::Picture;
 use roseproxy_decision::policy::Balancer;
 
-/// Takes events and answers with actions; without I/O, and deterministic by its seed.
+/// Turns events into actions, without I/O and deterministically for a given seed.
 pub trait Decider {
-    /// Takes one event at this time (microseconds) and appends what is to be done, in order.
+    /// Handles an event at time `now` (microseconds) and appends the actions to `out`, in order.
     fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>);
 
-    /// What it makes of its servers.
+    /// Returns the decider's estimates of its servers.
     fn picture(&self) -> Picture {
         Picture::default()
     }
--- a/crates/routing/src/discovery.rs
+++ b/crates/routing/src/discovery.rs
@@ -1,7 +1,7 @@
-//! Discovery as the host sees it: how calls and watches end, and what that does to the list in hand.
+//! Discovery as the host sees it: how calls and watches end, and how that affects the current list.
 
-use super::kinds::name_of;
-use super::timers::Due;
+use super::labels::label_of;
+use super::timers::TimerKind;
 use super::{time, EventKind, Host};
 use roseproxy_decision::interface::{Event, Update};
 use roseproxy_fleet::list_lease::{DiscoveryFailure, LeaseTerms, ListLease};
@@ -10,17 +10,17 @@
 /// How a call to discovery, or the watch that it opened, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEnd {
-    /// No connection came up.
+    /// No connection was established.
     Unreachable,
-    /// This machine could not make the connection; that tells nothing of discovery.
+    /// This machine could not open the connection, which says nothing about discovery.
     NotMade,
-    /// No answer began within the time for it.
+    /// No response began within its time limit.
     NoAnswer,
-    /// It was answered with another status than 200.
+    /// The response had a status other than 200.
     TurnedAway,
-    /// The connection broke before the answer or in the middle of it.
+    /// The connection broke before or during the response.
     Broken,
-    /// Its answer was no list.
+    /// The response was not a valid list.
     Unreadable,
     /// An open watch ended.
     WatchEnded,
@@ -30,7 +30,7 @@
     Moved,
 }
 
-/// All ends with the names that they are counted under.
+/// All ends with their names in the counters and in the event log.
 pub const CALL_ENDS: [(CallEnd, &str); 9] = [
     (CallEnd::Unreachable, "unreachable"),
     (CallEnd::NotMade, "not_made"),
@@ -44,12 +44,12 @@
 ];
 
 impl CallEnd {
-    /// Its name in counters and in the event log.
+    /// Returns its name in the counters and in the event log.
     pub fn name(self) -> &'static str {
-        name_of(&CALL_ENDS, self)
+        label_of(&CALL_ENDS, self)
     }
 
-    /// What it tells of whether discovery is there; `None` where it tells nothing.
+    /// Returns what the end says about the availability of discovery; `None` if it says nothing.
     fn failure(self) -> Option<DiscoveryFailure> {
         match self {
             CallEnd::Unreachable => Some(DiscoveryFailure::Unreachable),
@@ -61,38 +61,38 @@
     }
 }
 
-/// What happened between this sidecar and discovery.
+/// An event between this sidecar and discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DiscoveryEvent {
-    /// The sidecar started on a list that was kept from before; revision 0 where there was none.
+    /// The sidecar started with a list that was kept from before; revision 0 if there was none.
     KeptList {
-        /// Its revision.
+        /// Revision of the kept list.
         revision: u64,
-        /// How many endpoints it names.
+        /// Number of endpoints in it.
         endpoints: usize,
     },
-    /// A call goes out, for the changes after this revision, or for the whole list.
+    /// A call started, for the changes after this revision or for the whole list.
     CallStarted(Option<u64>),
-    /// A watch was opened, this long (ms) after its call.
+    /// A watch was opened this long after its call (ms).
     WatchOpened(f64),
-    /// A list or changes were taken over.
+    /// A list or changes were applied.
     ListTaken {
-        /// Their revision.
+        /// Revision of the list or changes.
         revision: u64,
-        /// Whether they name all endpoints there are.
+        /// Whether all endpoints are named.
         complete: bool,
-        /// How many entries they have.
+        /// Number of entries.
         entries: usize,
-        /// How many of those could not be read.
+        /// Number of entries that could not be parsed.
         unread: usize,
-        /// Whether they are older than what was in hand.
+        /// Whether they are older than the list in use.
         behind: bool,
     },
-    /// A call or a watch ended, this long (ms) after the call.
+    /// A call or a watch ended, this long after the call (ms).
     CallEnded(CallEnd, f64),
-    /// Nothing was heard for so long (ms) that the list in hand may not be acted on any more.
+    /// The lease of the list expired; the list had been unconfirmed for this long (ms).
     ListExpired(f64),
-    /// It may be acted on again.
+    /// The list may be used again.
     ListRenewed,
 }
 
@@ -122,106 +122,111 @@
 
 impl Host {
     /// Records what happened between this sidecar and discovery.
-    pub fn discovery_event(&mut self, now: f64, event: DiscoveryEvent) {
+    pub fn record_discovery_event(&mut self, now: f64, event: DiscoveryEvent) {
         self.events.record(now, None, EventKind::Discovery(event));
     }
 
-    /// From now on discovery is followed: the list in hand is one that was kept from before the start, at this time. Without
-    /// this, whoever gives the list answers for its age.
-    pub fn follow_discovery(&mut self, now: f64, began: f64) {
-        let asked = self.settings.must_subscribe;
-        let unwatched = if asked { time::to_millis(self.settings.ask_within) } else { 0.0 };
+    /// Starts to follow discovery with a list that was kept from before the start at `started_at`.
+    /// Without this call, the caller is responsible for the age of the lists it provides.
+    pub fn follow_discovery(&mut self, now: f64, started_at: f64) {
+        let lists_requested = self.settings.must_subscribe;
+        let unwatched = if lists_requested { time::to_millis(self.settings.ask_within) } else { 0.0 };
         let terms = LeaseTerms { grace_ms: self.notice_grace(), unwatched_ms: unwatched };
-        self.lease = Some(ListLease::of_kept_list(began, terms));
-        self.watch_lease(now);
+        self.lease = Some(ListLease::of_kept_list(started_at, terms));
+        self.refresh_lease(now);
     }
 
-    /// Discovery has told of a change, or that there is none.
+    /// Records that discovery sent a change, or confirmed that there is none.
     pub fn list_confirmed(&mut self, now: f64) {
-        self.change_lease(now, |lease| lease.on_confirmed(now));
+        self.update_lease(now, |lease| lease.on_confirmed(now));
     }
 
-    /// A call to discovery goes out, for the changes after this revision, or for the whole list.
-    pub fn call_started(&mut self, now: f64, revision: Option<u64>) {
-        self.book.calls += 1;
-        self.discovery_event(now, DiscoveryEvent::CallStarted(revision));
-        self.change_lease(now, |lease| lease.on_call_started(now));
+    /// Records that a call to discovery starts, for the changes after this revision or for the
+    /// whole list.
+    pub fn discovery_call_started(&mut self, now: f64, revision: Option<u64>) {
+        self.counters.discovery_calls += 1;
+        self.record_discovery_event(now, DiscoveryEvent::CallStarted(revision));
+        self.update_lease(now, |lease| lease.on_call_started(now));
     }
 
-    /// Whether the list in hand is too old to be acted on.
+    /// Whether the lease of the current list has expired.
     pub(super) fn list_expired(&self, now: f64) -> bool {
         self.lease.as_ref().is_some_and(|lease| lease.is_expired(now))
     }
 
-    /// For how long the list in hand has been too old to be acted on (ms); 0 while it may be.
+    /// Returns the time since the lease of the current list expired (ms), or 0 if it has not.
     pub(super) fn list_expired_for(&self, now: f64) -> f64 {
         let since = self.lease.as_ref().and_then(|lease| lease.expired_since(now));
         since.map_or(0.0, |since| now - since)
     }
 
-    /// Whether discovery has confirmed the list since the start, or is away, and the list may be acted on.
+    /// Whether the list may be used and discovery has confirmed it since the start or is
+    /// unavailable.
     pub(super) fn list_settled(&self, now: f64) -> bool {
         self.lease.as_ref().is_none_or(|lease| lease.is_settled(now))
     }
 
-    /// How long ago discovery has confirmed the list in hand (ms).
+    /// Returns the time since discovery last confirmed the current list (ms).
     pub fn list_age(&self, now: f64) -> f64 {
         self.lease.as_ref().map_or(0.0, |lease| lease.age(now))
     }
 
-    /// How long sends may go on after word that an endpoint leaves, or after which a list is too old (ms): half of what the
-    /// platform allows, as a process may be held up between this check and its write.
+    /// Returns the time for which attempts may be sent after notice that a target leaves or after a
+    /// list counts as outdated (ms). It is half of what the platform allows, since the process may
+    /// be delayed between this check and its write.
     pub(super) fn notice_grace(&self) -> f64 {
         time::to_millis(self.settings.network.drain_grace) / 2.0
     }
 
-    fn change_lease(&mut self, now: f64, change: impl FnOnce(&mut ListLease)) {
+    fn update_lease(&mut self, now: f64, change: impl FnOnce(&mut ListLease)) {
         if let Some(lease) = self.lease.as_mut() {
             change(lease);
-            self.watch_lease(now);
+            self.refresh_lease(now);
         }
     }
 
-    /// Has the lease looked at when it ends, and records where it has ended or begun anew.
-    pub(super) fn watch_lease(&mut self, now: f64) {
+    /// Sets a timer for the next change of the lease, and records if the lease has expired or
+    /// become valid again.
+    pub(super) fn refresh_lease(&mut self, now: f64) {
         let Some(lease) = self.lease.as_ref() else { return };
         let (expired, age) = (lease.is_expired(now), lease.age(now));
         if let Some(change) = lease.next_change(now) {
-            self.timers.set(change, Due::ListLease);
+            self.timers.set(change, TimerKind::ListLease);
         }
         if expired != std::mem::replace(&mut self.list_was_expired, expired) {
-            self.book.lists_expired += u64::from(expired);
+            self.counters.lists_expired += u64::from(expired);
             let event = if expired { DiscoveryEvent::ListExpired(age) } else { DiscoveryEvent::ListRenewed };
-            self.discovery_event(now, event);
+            self.record_discovery_event(now, event);
         }
     }
 
-    /// A call to discovery failed or the watch broke; the list in hand stays.
-    pub fn targets_failed(&mut self, now: f64, end: CallEnd) {
-        self.book.list_failures += 1;
-        self.book.call_ended(end);
+    /// Records that a call to discovery failed or the watch broke; the current list stays.
+    pub fn discovery_failed(&mut self, now: f64, end: CallEnd) {
+        self.counters.discovery_failures += 1;
+        self.counters.count_call_end(end);
         if let Some(failure) = end.failure() {
-            self.change_lease(now, |lease| lease.on_failure(now, failure));
+            self.update_lease(now, |lease| lease.on_failure(now, failure));
         }
         if !self.settings.must_subscribe {
-            // The module asks for no list where they are pushed.
+            // Where lists are pushed, the decision module requests none.
             let pause = time::to_millis(self.pushed_calls.on_failure());
-            self.timers.set(now + pause, Due::Watch);
+            self.timers.set(now + pause, TimerKind::Watch);
         }
-        self.tell(now, Event::Servers { update: Update::Failed, servers: &[] });
+        self.notify_module(now, Event::Servers { update: Update::Failed, servers: &[] });
     }
 
-    /// Discovery was moved; `calling` is whether a call or a watch was open, which has ended by that.
+    /// Records that discovery was moved; `calling` is whether a call or a watch was open, which
+    /// ended by the move.
     pub fn discovery_moved(&mut self, now: f64, calling: bool) {
         if calling {
-            self.book.call_ended(CallEnd::Moved);
+            self.counters.count_call_end(CallEnd::Moved);
         }
-        self.change_lease(now, |lease| lease.on_moved(now));
+        self.update_lease(now, |lease| lease.on_moved(now));
     }
 
-    /// The watch ended so, and is opened anew without a pause; the list in hand stays.
+    /// Records that the watch ended and is reopened without a pause; the current list stays.
     pub fn watch_reopened(&mut self, now: f64, end: CallEnd) {
-        self.book.call_ended(end);
-        self.tell(now, Event::Servers { update: Update::Reopened, servers: &[] });
+        self.counters.count_call_end(end);
+        self.notify_module(now, Event::Servers { update: Update::Reopened, servers: &[] });
     }
 }
--- a/crates/routing/src/route.rs
+++ b/crates/routing/src/dispatch.rs
@@ -1,40 +1,42 @@
-//! Stage 3: happenings become the module's events, and its actions are carried out in order.
+//! Stage 3: reported events are passed to the decision module, and its actions are executed in
+//! order.
 
 use super::flow::{Answer, Order, ProbeEnd};
-use super::timers::Due;
-use super::{micros_since, time, Host, PROBE_PATIENCE};
+use super::timers::TimerKind;
+use super::{micros_since, time, Host, PROBE_TIMEOUT_MS};
 use roseproxy_decision::interface::{Action, Event, Outcome, ServerId};
 
 impl Host {
-    /// Tells the module, carries out what it wants, and tells it in turn what came of that.
-    pub(super) fn tell(&mut self, now: f64, event: Event) {
-        self.handle(now, event);
-        while let Some(ending) = self.endings.pop_front() {
+    /// Passes an event to the decision module, executes its actions, and reports the forwards that
+    /// these ended.
+    pub(super) fn notify_module(&mut self, now: f64, event: Event) {
+        self.handle_event(now, event);
+        while let Some(forward) = self.ended_forwards.pop_front() {
             let event = Event::Ended {
-                request: ending.id.flow,
-                attempt: ending.id.attempt,
-                server: ending.target,
-                outcome: ending.outcome,
-                elapsed: time::to_micros(ending.elapsed),
-                finished: !self.flows.contains_key(&ending.id.flow),
+                request: forward.id.flow,
+                attempt: forward.id.attempt,
+                server: forward.target,
+                outcome: forward.outcome,
+                elapsed: time::to_micros(forward.elapsed),
+                finished: !self.flows.contains_key(&forward.id.flow),
                 load: None,
             };
-            self.book.ended(ending.outcome);
-            self.record_end(now, ending.id, ending.outcome);
-            self.handle(now, event);
+            self.counters.count_outcome(forward.outcome);
+            self.record_attempt_end(now, forward.id, forward.outcome);
+            self.handle_event(now, event);
         }
     }
 
-    fn handle(&mut self, now: f64, event: Event) {
+    fn handle_event(&mut self, now: f64, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         self.balancer.handle(time::to_micros(now), event, &mut actions);
         for action in actions.drain(..) {
-            self.carry_out(now, action);
+            self.execute(now, action);
         }
         self.actions = actions;
     }
 
-    fn carry_out(&mut self, now: f64, action: Action) {
+    fn execute(&mut self, now: f64, action: Action) {
         match action {
             Action::Send { request, server, timeout } => self.send(now, request, server, timeout),
             Action::Cancel { request, attempt } => self.cancel(now, request, attempt),
@@ -43,7 +45,7 @@
             }
             Action::Fail { request } => self.answer(now, request, Answer::Failed),
             Action::Timer { token, after } => {
-                self.timers.set(now + time::to_millis(after), Due::Module(token));
+                self.timers.set(now + time::to_millis(after), TimerKind::Module(token));
             }
             Action::Probe { server } => self.probe(now, server),
             Action::Close { server } => self.orders.push_back(Order::CloseIdle(server)),
@@ -51,29 +53,29 @@
         }
     }
 
-    pub(super) fn module_timer(&mut self, now: f64, token: u64) {
-        self.tell(now, Event::Timer { token });
+    pub(super) fn module_timer_fired(&mut self, now: f64, token: u64) {
+        self.notify_module(now, Event::Timer { token });
     }
 
     fn probe(&mut self, now: f64, server: ServerId) {
-        self.last_probe += 1;
-        let number = self.last_probe;
+        self.last_probe_number += 1;
+        let number = self.last_probe_number;
         let Some(member) = self.members.get_mut(&server) else { return };
         member.probe = Some((number, now));
-        self.book.probes += 1;
+        self.counters.probes_sent += 1;
         self.orders.push_back(Order::Probe(server, member.target.address));
-        self.timers.set(now + PROBE_PATIENCE, Due::Probe(server, number));
+        self.timers.set(now + PROBE_TIMEOUT_MS, TimerKind::Probe(server, number));
     }
 
-    /// A probe has ended. One that its patience ended before is heard no more.
+    /// Handles the end of a probe. The end of a probe that has already timed out is ignored.
     pub fn probe_ended(&mut self, now: f64, server: ServerId, end: ProbeEnd) {
-        let out = self.members.get_mut(&server).and_then(|m| m.probe.take());
-        let Some((_, sent)) = out else { return };
+        let probe = self.members.get_mut(&server).and_then(|m| m.probe.take());
+        let Some((_, sent)) = probe else { return };
         if end.outcome != Outcome::Served {
-            self.book.probes_lost += 1;
+            self.counters.probes_lost += 1;
         }
         let elapsed = micros_since(sent, now);
-        self.tell(now, Event::Probed { server, outcome: end.outcome, elapsed, load: end.load });
+        self.notify_module(now, Event::Probed { server, outcome: end.outcome, elapsed, load: end.load });
     }
 
     pub(super) fn probe_overdue(&mut self, now: f64, server: ServerId, number: u64) {
--- a/crates/routing/src/event_log.rs
+++ b/crates/routing/src/event_log.rs
@@ -1,24 +1,26 @@
-//! The event log: what happened to each request, attempt, connection and endpoint, and why.
+//! Event log: what happened to each request, attempt, connection and endpoint, and why.
 //!
-//! The latest events are kept in memory and printed on request; where a sink is set, each is also printed as it happens.
+//! The latest events are kept in memory and printed on request. If a sink is set, events are also
+//! printed as they happen.
 
 use super::discovery::DiscoveryEvent;
 use super::flow::FlowId;
-use super::guard::Withheld;
+use super::guard::WithheldReason;
 use super::invariants::Violation;
-use super::kinds::name_of;
+use super::labels::label_of;
 use roseproxy_decision::interface::{GiveUpReason, Outcome, Readiness, ServerId};
 use std::collections::VecDeque;
 use std::fmt;
 use std::rc::Rc;
 
-/// How many events are kept.
-const KEPT: usize = 512;
-/// How many notable events are printed in a span (ms): the first ones tell what is wrong, the counters how often.
-const MOST_PRINTED: u32 = 100;
-const PRINTING_SPAN: f64 = 600_000.0;
-/// How much of a client's id is kept (bytes).
-const ID_KEPT: usize = 40;
+/// Number of events kept in memory.
+const MAX_EVENTS: usize = 512;
+/// Limit of notable events printed within a span. The first ones show what is wrong, and the
+/// counters show how often it happens.
+const MAX_PRINTED_PER_SPAN: u32 = 100;
+const PRINT_SPAN_MS: f64 = 600_000.0;
+/// Length to which a client's id is truncated (bytes).
+const MAX_CLIENT_ID_BYTES: usize = 40;
 
 /// Why a request was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,22 +29,22 @@
     NoRoom,
     /// The client has no time left.
     NoTime,
-    /// The module knows no such class.
+    /// The decision module does not know the class.
     UnknownClass,
-    /// No endpoint was in service until its time was nearly over.
+    /// No endpoint was in service until the request's time was nearly over.
     NoEndpoint,
-    /// Only cold endpoints were left, and they had had their budget.
+    /// Only cold endpoints were left, and their call budgets were used up.
     SlowStart,
-    /// The module forecast an answer that comes too late.
+    /// The decision module predicted that the answer would be too late.
     Crowded,
-    /// Discovery was not heard of for so long that the list may be out of date.
+    /// Discovery had not confirmed the list for so long that it may be outdated.
     ListExpired,
-    /// The module gave it up after attempts that did it no harm.
+    /// The decision module gave up after attempts that make a retry by the client harmless.
     AttemptsFailed,
 }
 
-/// All reasons of refusals with the names that they are counted under.
-pub const REFUSALS: [(RefusalReason, &str); 8] = [
+/// All refusal reasons with their names in the counters.
+pub const REFUSAL_REASONS: [(RefusalReason, &str); 8] = [
     (RefusalReason::NoRoom, "no_room"),
     (RefusalReason::NoTime, "no_time"),
     (RefusalReason::UnknownClass, "unknown_class"),
@@ -68,41 +70,41 @@
 /// Why an attempt was ordered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptReason {
-    /// It is the request's first one.
+    /// It is the first attempt of the request.
     First,
-    /// All attempts before it have ended without an answer.
+    /// All earlier attempts have ended without an answer.
     Retry,
-    /// An earlier attempt is still out.
+    /// An earlier attempt is still open.
     SecondCopy,
 }
 
-/// All reasons of attempts with the names that they are counted under.
-pub const ATTEMPTS: [(AttemptReason, &str); 3] = [
+/// All attempt reasons with their names in the counters.
+pub const ATTEMPT_REASONS: [(AttemptReason, &str); 3] = [
     (AttemptReason::First, "first"),
     (AttemptReason::Retry, "retry"),
     (AttemptReason::SecondCopy, "second_copy"),
 ];
 
-/// What the one thread of the program was busy with.
+/// Activity of the program's single thread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Activity {
-    /// Taking a request in, and deciding on it.
+    /// Accepting a request and deciding on it.
     Request,
-    /// The end of an attempt, and deciding what follows.
+    /// Handling the end of an attempt and deciding on the next step.
     AttemptEnd,
-    /// The end of a probe.
+    /// Handling the end of a probe.
     ProbeEnd,
-    /// A client's departure.
+    /// Handling the departure of a client.
     Departure,
-    /// Timers that were due.
+    /// Handling due timers.
     Timers,
-    /// Reading a list from its text.
+    /// Parsing a list.
     ReadingList,
-    /// Taking a list over.
+    /// Applying a list.
     List,
 }
 
-/// All activities with the names that they are counted under.
+/// All activities with their names in the counters and in the event log.
 pub const ACTIVITIES: [(Activity, &str); 7] = [
     (Activity::Request, "request"),
     (Activity::AttemptEnd, "attempt_end"),
@@ -120,20 +122,21 @@
     Client,
     /// The client left while its request was open.
     Departed,
-    /// Its last answer said so: the end of the process, a malformed request, or bytes behind the request.
+    /// The last answer announced it: the process ends, the request was malformed, or bytes followed
+    /// it.
     Answered,
-    /// It stood idle for long, or its place was wanted.
+    /// It was idle for too long, or its slot was needed.
     Idle,
-    /// Its request did not come whole in time.
+    /// Its request did not arrive completely in time.
     Late,
-    /// The process ends.
+    /// The process shuts down.
     Shutdown,
-    /// Its client did not read its answer.
+    /// The client did not read its answer.
     Stalled,
 }
 
-/// All reasons of closes with the names that they are counted under.
-pub const CLOSES: [(CloseReason, &str); 7] = [
+/// All close reasons with their names in the counters.
+pub const CLOSE_REASONS: [(CloseReason, &str); 7] = [
     (CloseReason::Client, "client"),
     (CloseReason::Departed, "departed"),
     (CloseReason::Answered, "answered"),
@@ -143,53 +146,53 @@
     (CloseReason::Stalled, "stalled"),
 ];
 
-/// What happened.
+/// An event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EventKind {
-    /// A request was taken in.
+    /// A request was accepted.
     Taken {
-        /// The start of the client's id.
+        /// Truncated id of the client's request.
         client_id: Box<str>,
-        /// Its class.
+        /// Class of the request.
         class: usize,
-        /// How long the client waits (ms).
+        /// Time until the client gives up (ms).
         time_left: f64,
     },
     /// An attempt was ordered.
     AttemptOrdered {
-        /// Its number.
+        /// Number of the attempt.
         attempt: usize,
-        /// Why.
+        /// Reason.
         reason: AttemptReason,
-        /// Where it goes.
+        /// Endpoint that it goes to.
         endpoint: ServerId,
-        /// How long its answer is awaited (ms).
-        patience: f64,
+        /// Time limit for its answer (ms).
+        timeout: f64,
     },
     /// An attempt was withheld.
     AttemptWithheld {
-        /// Its number.
+        /// Number of the attempt.
         attempt: usize,
-        /// Why.
-        reason: Withheld,
+        /// Reason.
+        reason: WithheldReason,
     },
-    /// An attempt's first byte went out.
+    /// The first byte of an attempt was written.
     AttemptBegan {
-        /// Its number.
+        /// Number of the attempt.
         attempt: usize,
     },
-    /// An attempt's last byte went out.
+    /// The last byte of an attempt was written.
     AttemptWhole {
-        /// Its number.
+        /// Number of the attempt.
         attempt: usize,
-        /// The time told to the endpoint (ms).
+        /// Time limit sent to the endpoint (ms).
         told: f64,
     },
     /// An attempt ended.
     AttemptEnded {
-        /// Its number.
+        /// Number of the attempt.
         attempt: usize,
-        /// How.
+        /// Its outcome.
         outcome: Outcome,
     },
     /// A request was served.
@@ -198,31 +201,31 @@
     Refused(RefusalReason),
     /// A request failed.
     Failed,
-    /// A request's client left.
+    /// The client of a request left.
     ClientLeft,
     /// A client's connection was closed.
     Closed(CloseReason),
     /// An endpoint's state changed.
     Endpoint {
-        /// Which.
+        /// The endpoint.
         endpoint: ServerId,
-        /// To what.
+        /// Its new state.
         readiness: Readiness,
     },
-    /// Something happened between this sidecar and discovery.
+    /// An event between this sidecar and discovery.
     Discovery(DiscoveryEvent),
-    /// Discovery sent what is no list.
+    /// Discovery sent an invalid list, with the reason.
     BadList(Box<str>),
-    /// The one thread of the program did nothing else for so long (ms).
+    /// An activity blocked the program's single thread.
     HeldUp {
-        /// By what.
+        /// The activity.
         activity: Activity,
-        /// How long.
+        /// Duration (ms).
         millis: f64,
     },
-    /// Timers went off so late (ms), as the thread was busy or had no processor.
+    /// Timers fired late because the thread was busy or did not get a processor.
     TimersLate {
-        /// How late.
+        /// Delay (ms).
         millis: f64,
     },
     /// An invariant was violated.
@@ -230,7 +233,8 @@
 }
 
 impl EventKind {
-    /// Whether an operator should hear of it, whatever else is printed: faults, and what the sidecar knows of its endpoints.
+    /// Whether an operator should see the event whatever else is printed: faults, and changes in
+    /// what the sidecar knows from discovery.
     fn notable(&self) -> bool {
         matches!(self, EventKind::BadList(_) | EventKind::Violated(_) | EventKind::Discovery(_))
     }
@@ -254,9 +258,9 @@
             EventKind::Taken { client_id, class, time_left } => {
                 write!(f, " taken id={client_id} class={class} time_left={time_left:.0}")
             }
-            EventKind::AttemptOrdered { attempt, reason, endpoint, patience } => {
-                let (reason, endpoint) = (name_of(&ATTEMPTS, *reason), endpoint.0);
-                write!(f, " attempt={attempt} ordered reason={reason} endpoint={endpoint:016x} patience={patience:.0}")
+            EventKind::AttemptOrdered { attempt, reason, endpoint, timeout } => {
+                let (reason, endpoint) = (label_of(&ATTEMPT_REASONS, *reason), endpoint.0);
+                write!(f, " attempt={attempt} ordered reason={reason} endpoint={endpoint:016x} patience={timeout:.0}")
             }
             EventKind::AttemptWithheld { attempt, reason } => {
                 write!(f, " attempt={attempt} withheld reason={}", reason.name())
@@ -277,7 +281,7 @@
             EventKind::Discovery(event) => write!(f, " discovery {event}"),
             EventKind::BadList(reason) => write!(f, " discovery sent what is no list: {reason}"),
             EventKind::HeldUp { activity, millis } => {
-                write!(f, " held_up activity={} for={millis:.1}", name_of(&ACTIVITIES, *activity))
+                write!(f, " held_up activity={} for={millis:.1}", label_of(&ACTIVITIES, *activity))
             }
             EventKind::TimersLate { millis } => write!(f, " timers_late by={millis:.1}"),
             EventKind::Violated(violation) => write!(f, " VIOLATED {}", violation.name()),
@@ -285,57 +289,57 @@
     }
 }
 
-/// Takes each event as a line.
+/// Receives each printed event as a line.
 pub type Sink = Rc<dyn Fn(&str)>;
 
-/// The latest events.
+/// The latest events, and where to print them.
 #[derive(Default)]
 pub struct EventLog {
     latest: VecDeque<Record>,
     sink: Option<Sink>,
-    /// Whether each event is printed, and not only notable ones.
-    every: bool,
-    /// When the present span began, and how many notable events it has printed.
+    /// Whether every event is printed, and not only notable ones.
+    every_event: bool,
+    /// Start of the present print span (ms), and the number of notable events in it.
     span_began: f64,
-    printed: u32,
+    printed_in_span: u32,
 }
 
 impl EventLog {
-    /// Has notable events printed as they happen, or each event.
-    pub fn log_to(&mut self, sink: Sink, every: bool) {
-        (self.sink, self.every) = (Some(sink), every);
+    /// Sets the sink for notable events, or for every event if `every_event` is set.
+    pub fn set_sink(&mut self, sink: Sink, every_event: bool) {
+        (self.sink, self.every_event) = (Some(sink), every_event);
     }
 
     /// Records an event.
     pub fn record(&mut self, at: f64, request: Option<FlowId>, kind: EventKind) {
-        let prints = kind.notable() && self.may_print(at);
+        let print_notable = kind.notable() && self.allow_print(at);
         let record = Record { at, request, kind };
-        if let Some(sink) = self.sink.as_ref().filter(|_| prints || self.every) {
+        if let Some(sink) = self.sink.as_ref().filter(|_| print_notable || self.every_event) {
             sink(&format!("event {record}"));
         }
-        if self.latest.len() == KEPT {
+        if self.latest.len() == MAX_EVENTS {
             self.latest.pop_front();
         }
         self.latest.push_back(record);
     }
 
-    /// Whether one more notable event may be printed in this span.
-    fn may_print(&mut self, at: f64) -> bool {
-        if at - self.span_began >= PRINTING_SPAN {
-            (self.span_began, self.printed) = (at, 0);
+    /// Counts a notable event and returns whether it may be printed in this span.
+    fn allow_print(&mut self, at: f64) -> bool {
+        if at - self.span_began >= PRINT_SPAN_MS {
+            (self.span_began, self.printed_in_span) = (at, 0);
         }
-        self.printed = self.printed.saturating_add(1);
-        self.printed <= MOST_PRINTED
+        self.printed_in_span = self.printed_in_span.saturating_add(1);
+        self.printed_in_span <= MAX_PRINTED_PER_SPAN
     }
 
-    /// The latest events, one a line, the oldest first.
+    /// Returns the latest events, one per line, oldest first.
     pub fn text(&self) -> String {
         self.latest.iter().map(|record| format!("{record}\n")).collect()
     }
 }
 
-/// The start of a client's id, as the log keeps it.
-pub fn shortened(id: &[u8]) -> Box<str> {
-    let start = &id[..id.len().min(ID_KEPT)];
+/// Truncates a client's id for the log.
+pub fn truncate_client_id(id: &[u8]) -> Box<str> {
+    let start = &id[..id.len().min(MAX_CLIENT_ID_BYTES)];
     String::from_utf8_lossy(start).into()
 }
--- a/crates/routing/src/flow.rs
+++ b/crates/routing/src/flow.rs
@@ -1,63 +1,63 @@
-//! The words of routing: flows, forwards, targets, and the orders it gives.
+//! Types shared with front ends: flows, forwards, targets, and the host's orders.
 
 use bytes::Bytes;
 use roseproxy_decision::interface::{ClassId, Load, Outcome, Readiness, ServerId};
 use std::net::SocketAddr;
 
-/// The program's own number of a flow; a client's `Request-Id` only passes through.
+/// The program's own number of a flow; a client's `Request-Id` is only passed through.
 pub type FlowId = u64;
 
-/// One attempt of a flow: its number counts from 0 in order of sends.
+/// Identifies one attempt of a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ForwardId {
     /// The flow it belongs to.
     pub flow: FlowId,
-    /// Its number.
+    /// Number of the attempt, from 0 in the order of sending.
     pub attempt: usize,
 }
 
-/// What a front says of a request that it has read whole.
+/// A request that a front end has read completely.
 #[derive(Clone, Copy, Debug)]
 pub struct NewFlow {
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// Index of its tenant, where the settings name it.
+    /// Index of its tenant, if the settings name it.
     pub tenant: Option<usize>,
-    /// Stable hash of what it is about.
+    /// Stable hash of the key that it concerns.
     pub key: Option<u64>,
-    /// How long the client waits, in milliseconds from when it sent the request.
+    /// Time until the client gives up, counted from when it sent the request (ms).
     pub time_left: f64,
 }
 
-/// The one whole answer that a flow gets.
+/// The single complete answer of a flow.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     /// A target's body, unchanged.
     Served(Bytes),
-    /// A fixed response: refused, and trying again is harmless; with advice in milliseconds.
+    /// A fixed response: refused, and a retry by the client is harmless.
     Refused {
-        /// How long the client should stay away; 0 for no advice.
+        /// Time for which the client should not retry (ms); 0 for no advice.
         retry_after: f64,
     },
-    /// A fixed response: failed, with no promise.
+    /// A fixed response: failed, without any guarantee about effects.
     Failed,
 }
 
-/// How a forward ended, as the transport saw it.
+/// How a forward ended, as the transport observed it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ForwardEnd {
-    /// A whole body came.
+    /// A complete body arrived.
     Served(Bytes),
-    /// Anything else.
-    Lost(Outcome),
+    /// Any other outcome.
+    Failed(Outcome),
 }
 
 impl ForwardEnd {
-    /// The module's word for it.
+    /// Returns the corresponding outcome of the decision module.
     pub fn outcome(&self) -> Outcome {
         match self {
             ForwardEnd::Served(_) => Outcome::Served,
-            ForwardEnd::Lost(outcome) => *outcome,
+            ForwardEnd::Failed(outcome) => *outcome,
         }
     }
 }
@@ -65,57 +65,57 @@
 /// One entry of the target group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
-    /// Its id, the same at every sidecar.
+    /// Id of the target, the same at every sidecar.
     pub id: ServerId,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     /// Tag of its zone.
     pub zone: u32,
-    /// Its cell.
+    /// Tag of its cell.
     pub cell: u32,
     /// Tag of its machine kind.
     pub kind: u32,
-    /// Capacity compared with the others'.
+    /// Capacity relative to the other targets.
     pub power: f64,
-    /// Its last start in clock time (milliseconds); `None` for long ago.
+    /// Last start in clock time (ms); `None` if it was long ago.
     pub started_at: Option<f64>,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub readiness: Readiness,
 }
 
-/// What a probe brought.
+/// Result of a probe.
 #[derive(Clone, Copy, Debug)]
 pub struct ProbeEnd {
     /// How it ended.
     pub outcome: Outcome,
-    /// The target's load, where it said so.
+    /// Load reported by the target, if any.
     pub load: Option<Load>,
 }
 
-/// What routing wants done on the network. Everything comes back as a call to the [`super::Host`].
+/// An instruction of the host to the network. Results are reported by calls to [`super::Host`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
     /// Send a flow's request to a target.
     Forward {
-        /// Which attempt.
+        /// The attempt.
         id: ForwardId,
-        /// To whom.
+        /// The target.
         target: ServerId,
-        /// Where that listens.
+        /// Address of the target.
         address: SocketAddr,
-        /// How long the answer is awaited, in milliseconds.
-        patience: f64,
+        /// Time limit for the answer (ms).
+        timeout: f64,
     },
-    /// Stop a forward; nothing more is to be heard of it.
+    /// Stop a forward; its end must not be reported.
     GiveUp(ForwardId),
-    /// Give a flow its answer.
+    /// Send a flow's answer to its client.
     Answer(FlowId, Answer),
     /// Ask a target for its load.
     Probe(ServerId, SocketAddr),
-    /// Stop a probe; nothing more is to be heard of it.
+    /// Stop a probe; its end must not be reported.
     GiveUpProbe(ServerId),
     /// Close idle connections to a target.
     CloseIdle(ServerId),
-    /// Watch the target group.
+    /// Open a watch on the target group.
     Watch,
 }
--- a/crates/routing/src/guard.rs
+++ b/crates/routing/src/guard.rs
@@ -1,182 +1,190 @@
-//! The guard: the one place that allows an attempt to be sent and written, and a request to be refused.
+//! Guard: the single place that permits an attempt to be sent and written, and a request to be
+//! refused.
 //!
-//! It is asked when the module decides ([`Host::may_send`]) and again at the instant of acting ([`Host::may_write`]), as
-//! anything may have happened between the two. [`super::invariants`] checks afterwards that it was heeded.
+//! It is consulted when the decision module decides (`Host::may_send`) and again immediately
+//! before the action (`Host::may_write`), since conditions may have changed in between.
+//! [`super::invariants`] verifies afterwards that it was obeyed.
 
 use super::flow::{FlowId, ForwardId};
-use super::kinds::name_of;
-use super::{time, Flow, Host, Member, Written, SPARE};
+use super::labels::label_of;
+use super::{time, Flow, Host, Member, WrittenAttempt, TIME_RESERVE_MS};
 use roseproxy_decision::interface::{Effect, Group, Outcome, Readiness, ServerId};
 
 /// Why an attempt is not sent, or not written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Withheld {
+pub enum WithheldReason {
     /// The request has its answer, or its client has left.
     RequestEnded,
-    /// The client's connection has ended, which has not been heard of yet.
+    /// The client's connection has ended, which has not been reported yet.
     ClientLeft,
-    /// Its head was made too long ago: what it tells of the client's time, or the window of repeats, is over.
+    /// Its head was created too long ago: the time limit in it, or the idempotency window, is over.
     WrittenTooLate,
     /// The client's time is over.
     OutOfTime,
-    /// The request has had all the attempts that the settings allow.
+    /// The request has used all attempts that the settings allow.
     AttemptsSpent,
-    /// The list does not name the endpoint any more.
+    /// The list no longer names the target.
     EndpointGone,
-    /// The endpoint drains.
+    /// The target is draining.
     EndpointLeaving,
-    /// An earlier attempt is still out, and the settings allow no second copy.
+    /// An earlier attempt is still open, and the settings allow no second copy.
     SecondCopy,
     /// An earlier attempt may have run, and the class is unsafe to repeat.
     MayHaveRun,
-    /// An earlier attempt may have run outside the group that drops repeats.
+    /// An earlier attempt may have run outside the group that deduplicates repeats.
     OutsideGroup,
-    /// The window in which repeats are dropped is over.
+    /// The window in which repeats are deduplicated is over.
     WindowOver,
-    /// The endpoint has just started, and own calls alone would push it over.
+    /// The target has just started, and this sidecar's calls alone would overload it.
     SlowStart,
-    /// Discovery was not heard of for so long that the list may be out of date.
+    /// Discovery has not confirmed the list for so long that it may be outdated.
     ListExpired,
 }
 
-/// All reasons with the names that they are counted under.
-pub const WITHHELD: [(Withheld, &str); 13] = [
-    (Withheld::RequestEnded, "request_ended"),
-    (Withheld::ClientLeft, "client_left"),
-    (Withheld::WrittenTooLate, "written_too_late"),
-    (Withheld::OutOfTime, "out_of_time"),
-    (Withheld::AttemptsSpent, "attempts_spent"),
-    (Withheld::EndpointGone, "endpoint_gone"),
-    (Withheld::EndpointLeaving, "endpoint_leaving"),
-    (Withheld::SecondCopy, "second_copy"),
-    (Withheld::MayHaveRun, "may_have_run"),
-    (Withheld::OutsideGroup, "outside_group"),
-    (Withheld::WindowOver, "window_over"),
-    (Withheld::SlowStart, "slow_start"),
-    (Withheld::ListExpired, "list_expired"),
+/// All reasons with their names in the counters and in the event log.
+pub const WITHHELD_REASONS: [(WithheldReason, &str); 13] = [
+    (WithheldReason::RequestEnded, "request_ended"),
+    (WithheldReason::ClientLeft, "client_left"),
+    (WithheldReason::WrittenTooLate, "written_too_late"),
+    (WithheldReason::OutOfTime, "out_of_time"),
+    (WithheldReason::AttemptsSpent, "attempts_spent"),
+    (WithheldReason::EndpointGone, "endpoint_gone"),
+    (WithheldReason::EndpointLeaving, "endpoint_leaving"),
+    (WithheldReason::SecondCopy, "second_copy"),
+    (WithheldReason::MayHaveRun, "may_have_run"),
+    (WithheldReason::OutsideGroup, "outside_group"),
+    (WithheldReason::WindowOver, "window_over"),
+    (WithheldReason::SlowStart, "slow_start"),
+    (WithheldReason::ListExpired, "list_expired"),
 ];
 
-impl Withheld {
-    /// Its name in counters and in the event log.
+impl WithheldReason {
+    /// Returns its name in the counters and in the event log.
     pub fn name(self) -> &'static str {
-        name_of(&WITHHELD, self)
+        label_of(&WITHHELD_REASONS, self)
     }
 }
 
-/// How long the writing of an attempt may take (ms): the time that its head tells the endpoint holds only so long, with
-/// room for a process that is held up in between.
-const WRITE_WITHIN: f64 = 100.0;
+/// Time limit for writing an attempt (ms). The time limit stated in its head is accurate only that
+/// long; the value leaves room for a process that is delayed in between.
+const WRITE_TIMEOUT_MS: f64 = 100.0;
 
-/// Leave to write an attempt.
+/// Permission to write an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WritePermit {
-    /// By when its last byte must be out (ms): it is broken off else.
-    pub whole_by: f64,
+    /// Time by which its last byte must be written (ms); otherwise the attempt is aborted.
+    pub write_deadline: f64,
 }
 
 impl Host {
-    /// Whether an attempt may be sent to an endpoint, with so much time (ms) for its answer.
+    /// Whether an attempt may be sent to a target with this time limit for its answer (ms).
     pub(super) fn may_send(
         &mut self,
         now: f64,
         id: ForwardId,
-        endpoint: ServerId,
-        patience: f64,
-    ) -> Result<(), Withheld> {
+        target: ServerId,
+        timeout: f64,
+    ) -> Result<(), WithheldReason> {
         if id.attempt >= self.settings.max_attempts {
-            return Err(Withheld::AttemptsSpent);
+            return Err(WithheldReason::AttemptsSpent);
         }
-        if patience <= 0.0 {
-            return Err(Withheld::OutOfTime);
+        if timeout <= 0.0 {
+            return Err(WithheldReason::OutOfTime);
         }
-        self.takes_work(now, endpoint)?;
-        self.bears_one_more(now, endpoint)
+        self.check_accepts_work(now, target)?;
+        self.check_slow_start(now, target)
     }
 
-    /// Whether the first byte of an attempt may go out now, beside and after the other attempts of its request.
+    /// Whether the first byte of an attempt may be written now, considering the other attempts of
+    /// its request.
     pub(super) fn may_write(
         &self,
         now: f64,
         id: ForwardId,
-        endpoint: ServerId,
-    ) -> Result<WritePermit, Withheld> {
-        let request = self.flows.get(&id.flow).ok_or(Withheld::RequestEnded)?;
+        target: ServerId,
+    ) -> Result<WritePermit, WithheldReason> {
+        let request = self.flows.get(&id.flow).ok_or(WithheldReason::RequestEnded)?;
         if now >= request.deadline {
-            return Err(Withheld::OutOfTime);
+            return Err(WithheldReason::OutOfTime);
         }
-        let member = self.takes_work(now, endpoint)?;
-        let whole_by = self.may_repeat(request, id.attempt, member)?;
-        if now >= whole_by {
-            return Err(Withheld::WindowOver);
+        let member = self.check_accepts_work(now, target)?;
+        let write_deadline = self.repeat_deadline(request, id.attempt, member)?;
+        if now >= write_deadline {
+            return Err(WithheldReason::WindowOver);
         }
-        Ok(WritePermit { whole_by: whole_by.min(now + WRITE_WITHIN) })
+        Ok(WritePermit { write_deadline: write_deadline.min(now + WRITE_TIMEOUT_MS) })
     }
 
-    /// Whether an attempt that has this leave may be written on at this instant, `present` being whether its client's
-    /// connection is still open. What held when the leave was given may have changed while the thread was busy.
-    pub(super) fn still_may_write(
+    /// Whether an attempt with this permit may still be written, where `client_connected` is
+    /// whether its client's connection is still open. Conditions may have changed while the thread
+    /// was busy.
+    pub(super) fn check_continue_write(
         &self,
         now: f64,
         id: ForwardId,
         permit: WritePermit,
-        present: bool,
-    ) -> Result<(), Withheld> {
-        let forward = self.forwards.get(&id).ok_or(Withheld::RequestEnded)?;
-        if !present {
-            return Err(Withheld::ClientLeft);
+        client_connected: bool,
+    ) -> Result<(), WithheldReason> {
+        let forward = self.forwards.get(&id).ok_or(WithheldReason::RequestEnded)?;
+        if !client_connected {
+            return Err(WithheldReason::ClientLeft);
         }
-        if now >= permit.whole_by {
-            return Err(Withheld::WrittenTooLate);
+        if now >= permit.write_deadline {
+            return Err(WithheldReason::WrittenTooLate);
         }
         self.may_write(now, id, forward.target).map(|_| ())
     }
 
-    /// Whether an endpoint may be sent something new. Word of its drain may have come between a decision
-    /// and the send: within the grace that is allowed, and after it never.
-    fn takes_work(&self, now: f64, endpoint: ServerId) -> Result<&Member, Withheld> {
-        // Word of a drain counts as told after a time even where it has not come: an old list is no leave to send.
+    /// Whether a target may be sent new work. Notice of its drain may have arrived between a
+    /// decision and the send: the send is allowed within the grace, and never after it.
+    fn check_accepts_work(&self, now: f64, target: ServerId) -> Result<&Member, WithheldReason> {
+        // Notice of a drain counts as told after a time even if it has not arrived, so an expired
+        // list permits no send.
         if self.list_expired(now) {
-            return Err(Withheld::ListExpired);
+            return Err(WithheldReason::ListExpired);
         }
         let grace = self.notice_grace();
-        let member = self.members.get(&endpoint).ok_or(Withheld::EndpointGone)?;
+        let member = self.members.get(&target).ok_or(WithheldReason::EndpointGone)?;
         match member.target.readiness {
             Readiness::Ready => Ok(member),
             Readiness::Draining if member.leaving_since.is_some_and(|since| now - since < grace) => {
                 Ok(member)
             }
-            Readiness::Draining => Err(Withheld::EndpointLeaving),
-            Readiness::Gone => Err(Withheld::EndpointGone),
+            Readiness::Draining => Err(WithheldReason::EndpointLeaving),
+            Readiness::Gone => Err(WithheldReason::EndpointGone),
         }
     }
 
-    /// By when an attempt's last byte must be out, as that is what its time counts from, for it to be no harmful
-    /// repeat of the others; infinity where nothing binds it.
-    pub(super) fn may_repeat(
+    /// Returns the time by which an attempt's last byte must be written, since its time counts from
+    /// that byte, so that it is no harmful repeat of the other attempts. Infinite if there is no
+    /// limit.
+    pub(super) fn repeat_deadline(
         &self,
         request: &Flow,
         attempt: usize,
         member: &Member,
-    ) -> Result<f64, Withheld> {
+    ) -> Result<f64, WithheldReason> {
         let effect = self.settings.classes.get(request.class).map_or(Effect::Unsafe, |class| class.effect);
-        let mut whole_by = f64::INFINITY;
+        let mut write_deadline = f64::INFINITY;
         for other in request.written.iter().filter(|w| w.attempt != attempt) {
-            if other.out && !self.settings.second_copies {
-                return Err(Withheld::SecondCopy);
+            if other.open && !self.settings.second_copies {
+                return Err(WithheldReason::SecondCopy);
             }
             match effect {
                 Effect::Safe => {}
-                Effect::Keyed { group, window } if other.shares(group, member) => {
-                    whole_by = whole_by.min(other.sent + time::to_millis(window) - SPARE);
+                Effect::Keyed { group, window } if other.drops_repeats_with(group, member) => {
+                    write_deadline =
+                        write_deadline.min(other.sent_at + time::to_millis(window) - TIME_RESERVE_MS);
                 }
-                Effect::Keyed { .. } => return Err(Withheld::OutsideGroup),
-                Effect::Unsafe => return Err(Withheld::MayHaveRun),
+                Effect::Keyed { .. } => return Err(WithheldReason::OutsideGroup),
+                Effect::Unsafe => return Err(WithheldReason::MayHaveRun),
             }
         }
-        Ok(whole_by)
+        Ok(write_deadline)
     }
 
-    /// Whether a request may be refused: that says that none of it takes effect twice if it is tried again.
+    /// Whether a request may be refused, which asserts that a retry by the client has no effect
+    /// twice.
     pub(super) fn may_refuse(&self, id: FlowId) -> bool {
         let Some(flow) = self.flows.get(&id) else { return true };
         let harmless = self.settings.classes.get(flow.class).is_some_and(|c| match c.effect {
@@ -187,8 +195,8 @@
         harmless || flow.written.is_empty()
     }
 
-    /// A forward's first byte goes out now.
-    pub(super) fn note_written(&mut self, id: ForwardId, target: ServerId, sent: f64) {
+    /// Records that a forward's first byte is about to be written.
+    pub(super) fn record_written(&mut self, id: ForwardId, target: ServerId, sent_at: f64) {
         let Some(member) = self.members.get(&target) else { return };
         let (zone, cell) = (member.target.zone, member.target.cell);
         if let Some(forward) = self.forwards.get_mut(&id) {
@@ -196,27 +204,28 @@
         }
         if let Some(flow) = self.flows.get_mut(&id.flow) {
             flow.written.retain(|w| w.attempt != id.attempt);
-            flow.written.push(Written { attempt: id.attempt, sent, zone, cell, out: true });
+            flow.written.push(WrittenAttempt { attempt: id.attempt, sent_at, zone, cell, open: true });
         }
     }
 
-    /// A forward has ended: one that proves to have never run binds nothing any more.
-    pub(super) fn note_ended(&mut self, id: ForwardId, outcome: Outcome) {
+    /// Records that a forward has ended. One that is known not to have run no longer restricts
+    /// repeats.
+    pub(super) fn record_forward_end(&mut self, id: ForwardId, outcome: Outcome) {
         let Some(flow) = self.flows.get_mut(&id.flow) else { return };
         match outcome {
             Outcome::Rejected | Outcome::Unreachable | Outcome::NotSent => {
                 flow.written.retain(|w| w.attempt != id.attempt);
             }
             Outcome::Served | Outcome::Error | Outcome::TimedOut | Outcome::Broken | Outcome::Cancelled => {
-                flow.written.iter_mut().filter(|w| w.attempt == id.attempt).for_each(|w| w.out = false);
+                flow.written.iter_mut().filter(|w| w.attempt == id.attempt).for_each(|w| w.open = false);
             }
         }
     }
 }
 
-impl Written {
-    /// Whether an endpoint drops repeats of what this attempt ran.
-    fn shares(&self, group: Group, member: &Member) -> bool {
+impl WrittenAttempt {
+    /// Whether a target deduplicates repeats of this attempt.
+    fn drops_repeats_with(&self, group: Group, member: &Member) -> bool {
         match group {
             Group::All => true,
             Group::Zone => self.zone == member.target.zone,
--- a/crates/routing/src/take_in.rs
+++ b/crates/routing/src/intake.rs
@@ -1,53 +1,55 @@
-//! Stage 1: a request becomes a flow, and the list becomes the target group.
+//! Stage 1: requests become flows, and lists become the target group.
 
 use super::flow::{FlowId, NewFlow, Target};
-use super::{time, EventKind, Flow, Host, Member, SPARE};
+use super::{time, EventKind, Flow, Host, Member, TIME_RESERVE_MS};
 use roseproxy_decision::interface::{Event, Readiness, Request, Server, Update};
 
 impl Host {
-    /// Takes a request that a client sent whole. From here on it is owed exactly one answer, which
-    /// comes as an [`super::flow::Order::Answer`] with the id returned.
-    pub fn take_in(&mut self, now: f64, new: NewFlow) -> FlowId {
+    /// Accepts a request that a client has sent completely. It is owed exactly one answer, which is
+    /// issued as an [`super::flow::Order::Answer`] with the returned id.
+    pub fn accept_request(&mut self, now: f64, request: NewFlow) -> FlowId {
         self.last_flow += 1;
         let id = self.last_flow;
-        self.book.taken += 1;
-        let time_left = new.time_left - SPARE;
-        let (class, deadline) = (new.class, now + time_left);
+        self.counters.flows_taken += 1;
+        let time_left = request.time_left - TIME_RESERVE_MS;
+        let (class, deadline) = (request.class, now + time_left);
         self.flows.insert(id, Flow { deadline, class, attempts: 0, written: Vec::new() });
-        if self.admits(now, id, time_left) {
-            let request = Request {
+        if self.admit(now, id, time_left) {
+            let event = Request {
                 id,
-                class: new.class,
-                tenant: new.tenant,
+                class: request.class,
+                tenant: request.tenant,
                 work: None,
-                key: new.key,
+                key: request.key,
                 time_left: time::to_micros(time_left),
             };
-            self.owe_by(id);
-            self.tell(now, Event::Request(request));
+            self.set_answer_timer(id);
+            self.notify_module(now, Event::Request(event));
         }
         id
     }
 
-    /// The client of a flow has left: nothing is owed any more, and its forwards are called off.
-    pub fn client_gone(&mut self, now: f64, id: FlowId) {
-        // An answer may have won the race; then the flow is not there any more.
+    /// Handles the departure of a flow's client: no answer is owed any more, and its forwards are
+    /// stopped.
+    pub fn client_left(&mut self, now: f64, id: FlowId) {
+        // If an answer was sent first, the flow no longer exists.
         if self.close_flow(now, id) {
-            self.book.gone += 1;
+            self.counters.clients_left += 1;
             self.events.record(now, Some(id), EventKind::ClientLeft);
-            self.tell(now, Event::Expired { request: id });
+            self.notify_module(now, Event::Expired { request: id });
         }
     }
 
-    /// News of the target group. Only a complete list removes those that it does not name.
-    pub fn targets(&mut self, now: f64, update: Update, targets: &[Target]) {
-        self.book.lists += 1;
+    /// Applies a list or changes of the target group. Only a complete list removes targets that it
+    /// does not name.
+    pub fn update_targets(&mut self, now: f64, update: Update, targets: &[Target]) {
+        self.counters.lists_taken += 1;
         self.pushed_calls.on_list();
         if update == Update::Complete {
             let named: std::collections::HashSet<_> = targets.iter().map(|t| t.id).collect();
             let absent = self.members.values_mut().filter(|m| !named.contains(&m.target.id));
             for member in absent.filter(|m| m.target.readiness != Readiness::Gone) {
-                member.leave(now, Readiness::Gone);
+                member.mark_leaving(now, Readiness::Gone);
                 let (endpoint, readiness) = (member.target.id, Readiness::Gone);
                 self.events.record(now, None, EventKind::Endpoint { endpoint, readiness });
             }
@@ -65,16 +67,17 @@
             member.target = target.clone();
             match readiness {
                 Readiness::Ready => member.leaving_since = None,
-                Readiness::Draining | Readiness::Gone => member.leave(now, readiness),
+                Readiness::Draining | Readiness::Gone => member.mark_leaving(now, readiness),
             }
         }
-        let servers: Vec<Server> = targets.iter().map(entry).collect();
-        self.tell(now, Event::Servers { update, servers: &servers });
-        self.forget_gone();
+        let servers: Vec<Server> = targets.iter().map(server_entry).collect();
+        self.notify_module(now, Event::Servers { update, servers: &servers });
+        self.remove_gone_members();
     }
 
-    /// In a list that may be older than the one in hand: marks those that are leaving, unless they have started anew since.
-    pub fn keep_leaving(&self, targets: &mut [Target]) {
+    /// In a list that may be older than the current one, keeps the readiness of targets that are
+    /// leaving, unless they have restarted since.
+    pub fn preserve_leaving(&self, targets: &mut [Target]) {
         for target in targets {
             let known = self.members.get(&target.id).filter(|m| m.leaving_since.is_some());
             if let Some(member) = known.filter(|m| m.target.started_at == target.started_at) {
@@ -83,8 +86,9 @@
         }
     }
 
-    /// Drops members that are gone and idle, or the map would grow with every machine ever seen.
-    fn forget_gone(&mut self) {
+    /// Drops members that are gone and idle; otherwise the map would grow with every machine ever
+    /// seen.
+    fn remove_gone_members(&mut self) {
         let busy: std::collections::HashSet<_> = self.forwards.values().map(|f| f.target).collect();
         self.members
             .retain(|id, m| m.target.readiness != Readiness::Gone || m.probe.is_some() || busy.contains(id));
@@ -92,14 +96,14 @@
 }
 
 impl Member {
-    fn leave(&mut self, now: f64, readiness: Readiness) {
+    fn mark_leaving(&mut self, now: f64, readiness: Readiness) {
         self.target.readiness = readiness;
-        // The grace counts from the first word of it.
+        // The grace counts from the first notice.
         self.leaving_since.get_or_insert(now);
     }
 }
 
-fn entry(target: &Target) -> Server {
+fn server_entry(target: &Target) -> Server {
     Server {
         id: target.id,
         zone: target.zone,
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,34 +1,36 @@
-//! Routing: a thin host round the decision module.
+//! Host of the decision module: it applies the routing rules and keeps flows, forwards and timers.
 //!
-//! [`Host`] owns the [`Balancer`], the open flows, the forwards and the timers. A front (today the
-//! platform's HTTP) tells it what happened; it turns that into the module's events, carries out the
-//! actions in order, and leaves [`Order`]s for the network. It does no I/O and knows no protocol, so
-//! a second front can go through the same decisions and rules. A flow passes the stages [`take_in`],
-//! [`admit`], [`route`], [`send`], [`relay`] and [`book`], a file each.
+//! [`Host`] owns the decision module ([`Balancer`]), the open flows, the forwards and the timers. A
+//! front end (today the platform's HTTP) reports what happened; the host turns that into events of
+//! the decision module, executes the resulting actions in order, and queues [`Order`]s for the
+//! network. The crate does no I/O and knows no protocol, so that another front end can use the same
+//! decisions and rules. It depends on the decision module and on the fleet crate. Begin with
+//! [`Host`]; a flow then passes the stages [`intake`], [`admission`], [`dispatch`], [`send`],
+//! [`answers`] and [`counters`], one file each.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod admit;
-pub mod book;
-pub mod decide;
+pub mod admission;
+pub mod answers;
+pub mod counters;
+pub mod decider;
 pub mod discovery;
+pub mod dispatch;
 pub mod event_log;
 pub mod flow;
 pub mod guard;
+pub mod intake;
 pub mod invariants;
-pub mod kinds;
-pub mod relay;
-pub mod route;
+pub mod labels;
 pub mod send;
 mod slow_start;
 pub mod start_times;
-pub mod take_in;
 pub mod time;
 mod timers;
 
-use book::Book;
-use decide::Decider;
+use counters::Counters;
+use decider::Decider;
 use event_log::{Activity, EventKind, EventLog, RefusalReason};
 use flow::{FlowId, ForwardId, Order, Target};
 use roseproxy_decision::interface::{Action, ClassId, Micros, Outcome, Readiness, ServerId, Settings};
@@ -37,70 +39,71 @@
 use roseproxy_fleet::list_lease::ListLease;
 use roseproxy_fleet::slow_start::SlowStart;
 use std::collections::{HashMap, VecDeque};
-use timers::{Due, Timers};
+use timers::{TimerKind, Timers};
 
-/// Kept back from the client's time, so that the answer's last byte is there before it gives up, and from a key's
-/// window, so that a repeat's is inside it (ms).
-pub const SPARE: f64 = 20.0;
-/// How long a probe may take (ms): a report that comes later tells nothing of now.
-pub const PROBE_PATIENCE: f64 = 300.0;
+/// Time held back from the client's deadline, so that the last byte of the response arrives in
+/// time, and from an idempotency window, so that a repeat falls inside it (ms).
+pub const TIME_RESERVE_MS: f64 = 20.0;
+/// Time limit of a probe (ms); a later report no longer describes the present load.
+pub const PROBE_TIMEOUT_MS: f64 = 300.0;
 
-/// How long the one thread must have done nothing else for that to be recorded (ms): requests wait unread meanwhile, and what
-/// was checked before may not hold any more.
-const HELD_UP: f64 = 20.0;
+/// Shortest delay of the event loop that is recorded (ms). During a delay requests wait unread, and
+/// conditions checked before it may no longer hold.
+const MIN_REPORTED_DELAY_MS: f64 = 20.0;
 
 #[derive(Debug)]
 struct Flow {
-    /// When its answer must be out, in clock time.
+    /// Time by which the answer must be sent (clock time, ms).
     deadline: f64,
-    /// Its class.
+    /// Class of the request.
     class: ClassId,
-    /// Forwards sent so far.
+    /// Number of attempts so far.
     attempts: usize,
-    /// Those of them that may have run, or may yet.
-    written: Vec<Written>,
+    /// Attempts that may have run or may still run.
+    written: Vec<WrittenAttempt>,
 }
 
 #[derive(Debug)]
 struct Forward {
     target: ServerId,
-    sent: f64,
-    /// Whether its first byte has gone out, as far as this host was asked.
+    sent_at: f64,
+    /// Whether writing of its first byte was permitted.
     written: bool,
 }
 
-/// A forward that was written to a target, as the rules on repeats see it.
+/// A forward whose writing has begun, as the rules on repeats see it.
 #[derive(Debug)]
-struct Written {
+struct WrittenAttempt {
     attempt: usize,
-    /// When it was sent.
-    sent: f64,
-    /// The groups that its target belongs to.
+    /// Time at which it was sent (ms).
+    sent_at: f64,
+    /// Zone and cell of its target.
     zone: u32,
     cell: u32,
-    /// Whether it is still out.
-    out: bool,
+    /// Whether it has not ended yet.
+    open: bool,
 }
 
 #[derive(Debug)]
 struct Member {
     target: Target,
-    /// When this instance was told that it wants nothing new.
+    /// Time at which this sidecar first learned that the target takes no new work (ms).
     leaving_since: Option<f64>,
-    /// Number and time of the probe that is out.
+    /// Number and start time of the open probe.
     probe: Option<(u64, f64)>,
 }
 
-/// What routing itself makes happen while it carries out actions; told to the module afterwards.
+/// A forward that the host itself ended while it executed actions; reported to the decision module
+/// afterwards.
 #[derive(Debug)]
-struct Ending {
+struct EndedForward {
     id: ForwardId,
     target: ServerId,
     outcome: Outcome,
     elapsed: f64,
 }
 
-/// The host of one instance of the module.
+/// Host of one instance of the decision module.
 pub struct Host {
     balancer: Box<dyn Decider>,
     settings: Settings,
@@ -108,126 +111,127 @@
     forwards: HashMap<ForwardId, Forward>,
     members: HashMap<ServerId, Member>,
     timers: Timers,
-    endings: VecDeque<Ending>,
+    ended_forwards: VecDeque<EndedForward>,
     actions: Vec<Action>,
     orders: VecDeque<Order>,
     last_flow: FlowId,
-    last_probe: u64,
-    /// Where lists are pushed: the pauses between calls to discovery.
+    last_probe_number: u64,
+    /// Pauses between calls to discovery where lists are pushed.
     pushed_calls: PushBackoff,
-    /// How long the list in hand may be acted on; `None` where nobody follows discovery.
+    /// Lease of the current list; `None` if discovery is not followed.
     lease: Option<ListLease>,
-    /// Whether it had expired when it was looked at last.
+    /// Whether the lease had expired when it was last checked.
     list_was_expired: bool,
-    /// What endpoints that have just started may be sent, and when what warm ones serve was last taken in.
+    /// Call budgets of targets that have just started, and the time when the warm targets were last
+    /// observed (ms).
     slow_start: SlowStart,
-    observed_at: f64,
-    /// Whether the process is about to end.
-    ending: bool,
-    /// What came in, went out and was answered.
-    pub book: Book,
-    /// What happened of late, and why.
+    power_observed_at: f64,
+    /// Whether the process is shutting down.
+    shutting_down: bool,
+    /// Counters of flows, forwards, probes and lists.
+    pub counters: Counters,
+    /// Recent events and their reasons.
     pub events: EventLog,
 }
 
 impl Host {
-    /// A host of the decision module that knows no target yet.
+    /// Creates a host of the decision module without any target.
     pub fn new(settings: Settings, seed: u64, now: f64) -> Host {
         let balancer = Balancer::new(settings.clone(), seed, time::to_micros(now));
-        Host::with(settings, Box::new(balancer))
+        Host::with_decider(settings, Box::new(balancer))
     }
 
-    /// A host of whoever decides.
-    pub fn with(settings: Settings, balancer: Box<dyn Decider>) -> Host {
-        // Where lists are pushed the module asks for none, and what discovery has to tell counts as told from
-        // the first moment on: the host itself keeps the watch open then.
-        let first = (!settings.must_subscribe).then_some(Order::Watch);
+    /// Creates a host of the given decider.
+    pub fn with_decider(settings: Settings, balancer: Box<dyn Decider>) -> Host {
+        // Where lists are pushed, the decision module requests none, and changes count as told from
+        // the first moment on. The host then opens the watch itself.
+        let first_order = (!settings.must_subscribe).then_some(Order::Watch);
         Host {
             balancer,
             slow_start: SlowStart::new(settings.balancers, settings.ramp()),
-            observed_at: 0.0,
-            ending: false,
+            power_observed_at: 0.0,
+            shutting_down: false,
             settings,
             flows: HashMap::new(),
             forwards: HashMap::new(),
             members: HashMap::new(),
             timers: Timers::default(),
-            endings: VecDeque::new(),
+            ended_forwards: VecDeque::new(),
             actions: Vec::new(),
-            orders: first.into_iter().collect(),
+            orders: first_order.into_iter().collect(),
             last_flow: 0,
-            last_probe: 0,
+            last_probe_number: 0,
             pushed_calls: PushBackoff::default(),
             lease: None,
             list_was_expired: false,
-            book: Book::default(),
+            counters: Counters::default(),
             events: EventLog::default(),
         }
     }
 
-    /// The next thing to do on the network, in order.
+    /// Returns the next order for the network.
     pub fn next_order(&mut self) -> Option<Order> {
         self.orders.pop_front()
     }
 
-    /// When [`Host::tick`] is next wanted.
-    pub fn next_due(&self) -> Option<f64> {
-        self.timers.next()
+    /// Returns the time at which [`Host::tick`] must next be called.
+    pub fn next_timer(&self) -> Option<f64> {
+        self.timers.next_time()
     }
 
-    /// Lets every timer that is due go off.
+    /// Handles every timer that is due.
     pub fn tick(&mut self, now: f64) {
-        while let Some(due) = self.timers.take(now) {
+        while let Some(due) = self.timers.take_due(now) {
             match due {
-                Due::Module(token) => self.module_timer(now, token),
-                Due::Forward(id) => self.forward_overdue(now, id),
-                Due::Flow(id) => self.flow_overdue(now, id),
-                Due::Probe(target, number) => self.probe_overdue(now, target, number),
-                Due::Watch => self.orders.push_back(Order::Watch),
-                Due::ListLease => self.watch_lease(now),
+                TimerKind::Module(token) => self.module_timer_fired(now, token),
+                TimerKind::Forward(id) => self.forward_overdue(now, id),
+                TimerKind::Flow(id) => self.flow_overdue(now, id),
+                TimerKind::Probe(target, number) => self.probe_overdue(now, target, number),
+                TimerKind::Watch => self.orders.push_back(Order::Watch),
+                TimerKind::ListLease => self.refresh_lease(now),
             }
         }
     }
 
-    /// Flows that have no answer yet.
+    /// Returns the number of flows without an answer.
     pub fn open_flows(&self) -> usize {
         self.flows.len()
     }
 
-    /// Their numbers, in order.
-    pub fn open_ids(&self) -> Vec<FlowId> {
+    /// Returns the ids of the flows without an answer, in ascending order.
+    pub fn open_flow_ids(&self) -> Vec<FlowId> {
         let mut open: Vec<FlowId> = self.flows.keys().copied().collect();
         open.sort_unstable(); // nothing may depend on the order of a hash table
         open
     }
 
-    /// Endpoints that the list in hand names.
-    pub fn endpoints(&self) -> usize {
+    /// Returns the number of targets known from discovery.
+    pub fn endpoint_count(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether a request would find an endpoint in service, by a list that may be acted on.
+    /// Whether the current list may be used and names a target in service.
     pub fn can_serve(&self, now: f64) -> bool {
         self.list_settled(now) && self.members.values().any(|m| m.target.readiness == Readiness::Ready)
     }
 
-    /// What the module makes of the target group, in whole numbers by name: to be held against the
-    /// traffic on the sockets.
+    /// Returns the decision module's estimates of the target group as whole numbers by name, for
+    /// comparison with the traffic on the sockets.
     pub fn picture(&self) -> Vec<(String, u64)> {
-        let p = self.balancer.picture();
-        let millis = |micros: Micros| time::to_millis(micros).max(0.0) as u64;
+        let picture = self.balancer.picture();
+        let whole_ms = |micros: Micros| time::to_millis(micros).max(0.0) as u64;
         [
-            ("picture_ready", p.ready as u64),
-            ("picture_set_aside", p.set_aside as u64),
-            ("picture_forwards_open", u64::from(p.out)),
-            ("picture_report_age_ms", millis(p.report_age.0)),
-            ("picture_oldest_report_ms", millis(p.report_age.1)),
-            ("picture_load_percent", (p.load * 100.0) as u64),
-            ("picture_stay_ms", millis(p.stay as Micros)),
-            ("picture_spread_percent", (p.spread * 100.0) as u64),
-            ("picture_late_percent", (p.lateness * 100.0) as u64),
-            ("picture_tables", p.tables),
-            ("picture_trust_percent", (p.trust * 100.0) as u64),
+            ("picture_ready", picture.ready as u64),
+            ("picture_set_aside", picture.set_aside as u64),
+            ("picture_forwards_open", u64::from(picture.out)),
+            ("picture_report_age_ms", whole_ms(picture.report_age.0)),
+            ("picture_oldest_report_ms", whole_ms(picture.report_age.1)),
+            ("picture_load_percent", (picture.load * 100.0) as u64),
+            ("picture_stay_ms", whole_ms(picture.stay as Micros)),
+            ("picture_spread_percent", (picture.spread * 100.0) as u64),
+            ("picture_late_percent", (picture.lateness * 100.0) as u64),
+            ("picture_tables", picture.tables),
+            ("picture_trust_percent", (picture.trust * 100.0) as u64),
             ("flows_open", self.flows.len() as u64),
             ("forwards_open", self.forwards.len() as u64),
         ]
@@ -235,23 +239,24 @@
         .to_vec()
     }
 
-    /// The one thread was busy with this for so long (ms).
-    pub fn held_up(&mut self, now: f64, activity: Activity, millis: f64) {
-        if millis >= HELD_UP {
-            self.book.held_up(activity, millis);
+    /// Records that an activity blocked the event loop for this long (ms), if that exceeds the
+    /// reporting threshold.
+    pub fn record_held_up(&mut self, now: f64, activity: Activity, millis: f64) {
+        if millis >= MIN_REPORTED_DELAY_MS {
+            self.counters.count_held_up(activity, millis);
             self.events.record(now, None, EventKind::HeldUp { activity, millis });
         }
     }
 
-    /// Timers went off so late (ms).
-    pub fn timers_late(&mut self, now: f64, millis: f64) {
-        if millis >= HELD_UP {
-            self.book.timers_late(millis);
+    /// Records that timers fired this late (ms), if that exceeds the reporting threshold.
+    pub fn record_late_timers(&mut self, now: f64, millis: f64) {
+        if millis >= MIN_REPORTED_DELAY_MS {
+            self.counters.count_late_timers(millis);
             self.events.record(now, None, EventKind::TimersLate { millis });
         }
     }
 
-    /// Times and figures that the platform set.
+    /// Returns the settings from the platform.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
--- a/crates/routing/src/start_times.rs
+++ b/crates/routing/src/start_times.rs
@@ -1,33 +1,35 @@
-//! Places the starts of endpoints, which lists give in wall-clock time, on the program's clock.
+//! Converts the start times of targets, which lists give in wall-clock time, to the program's
+//! clock.
 //!
-//! Wall clocks are stepped, here and where the list is made; the program's clock runs on. A start is placed once, when
-//! the list first tells of it, and where the clocks disagree the endpoint counts as the younger: one that is taken for
-//! warm too early is pushed over, one that is taken for cold too long only gets less.
+//! Wall clocks are stepped, both on this machine and where the list is created; the program's clock
+//! is monotonic. A start is converted once, when a list first names it. If the clocks disagree, the
+//! target counts as the younger: one that is treated as warm too early is overloaded, while one
+//! that is treated as cold for too long only receives less work.
 
 use super::flow::Target;
 use roseproxy_decision::interface::{ServerId, Update};
 use std::collections::{HashMap, HashSet};
 
-/// How late discovery may tell of a start (ms).
-const TOLD_WITHIN: f64 = 6_000.0;
-/// Starts that are remembered before those are forgotten that the whole list does not name.
-const MOST: usize = 8_192;
+/// Latest time after a start at which discovery may report it (ms).
+const NOTICE_TERM_MS: f64 = 6_000.0;
+/// Number of known starts above which those that a complete list does not name are dropped.
+const MAX_KNOWN_STARTS: usize = 8_192;
 
-/// What the clocks say at one moment (ms).
+/// Readings of both clocks at one moment (ms).
 #[derive(Clone, Copy, Debug)]
 pub struct Clocks {
-    /// The program's, which is never stepped.
+    /// The program's clock, which is never stepped.
     pub program: f64,
     /// The wall clock.
     pub wall: f64,
 }
 
-/// Where a list comes from.
+/// Origin of a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Source {
-    /// Kept from before; it may be of any age.
+pub enum ListSource {
+    /// Kept from before the start; it may be of any age.
     Kept,
-    /// Discovery told it just now.
+    /// Received from discovery just now.
     Discovery,
 }
 
@@ -35,48 +37,61 @@
 #[derive(Clone, Copy, Debug)]
 struct Start {
     listed: f64,
-    placed: f64,
+    on_program_clock: f64,
 }
 
-/// The starts that were told.
+/// The known starts of targets.
 #[derive(Clone, Debug, Default)]
 pub struct StartTimes {
     known: HashMap<ServerId, Start>,
-    /// When discovery last told anything (ms).
+    /// Time of the last list from discovery (ms).
     last_list: Option<f64>,
 }
 
 impl StartTimes {
-    /// Places the starts of a list's entries.
-    pub fn place(&mut self, clocks: Clocks, source: Source, update: Update, targets: &mut [Target]) {
+    /// Converts the starts of a list's entries to the program's clock.
+    pub fn place_on_program_clock(
+        &mut self,
+        clocks: Clocks,
+        source: ListSource,
+        update: Update,
+        targets: &mut [Target],
+    ) {
         for target in targets.iter_mut() {
-            target.started_at =
-                target.started_at.map(|listed| self.placed(clocks, source, target.id, listed));
+            target.started_at = target
+                .started_at
+                .map(|listed| self.start_on_program_clock(clocks, source, target.id, listed));
         }
-        if source == Source::Discovery {
+        if source == ListSource::Discovery {
             self.last_list = Some(clocks.program);
         }
-        if update == Update::Complete && self.known.len() > MOST {
-            let named: HashSet<ServerId> = targets.iter().map(|t| t.id).collect();
-            self.known.retain(|id, _| named.contains(id));
+        if update == Update::Complete && self.known.len() > MAX_KNOWN_STARTS {
+            let listed_ids: HashSet<ServerId> = targets.iter().map(|t| t.id).collect();
+            self.known.retain(|id, _| listed_ids.contains(id));
         }
     }
 
-    fn placed(&mut self, clocks: Clocks, source: Source, id: ServerId, listed: f64) -> f64 {
+    fn start_on_program_clock(
+        &mut self,
+        clocks: Clocks,
+        source: ListSource,
+        id: ServerId,
+        listed: f64,
+    ) -> f64 {
         if let Some(start) = self.known.get(&id).filter(|start| start.listed == listed) {
-            return start.placed;
+            return start.on_program_clock;
         }
-        let placed = clocks.program - self.age(clocks, source, listed);
-        self.known.insert(id, Start { listed, placed });
-        placed
+        let on_program_clock = clocks.program - self.age(clocks, source, listed);
+        self.known.insert(id, Start { listed, on_program_clock });
+        on_program_clock
     }
 
-    /// How long ago an endpoint started of which nothing was known before.
-    fn age(&self, clocks: Clocks, source: Source, listed: f64) -> f64 {
+    /// Returns the age of a target whose start was not known before.
+    fn age(&self, clocks: Clocks, source: ListSource, listed: f64) -> f64 {
         let age = (clocks.program - listed).min(clocks.wall - listed).max(0.0);
-        match self.last_list.filter(|_| source == Source::Discovery) {
-            // Discovery would have told of it: both clocks were stepped.
-            Some(last) if age > clocks.program - last + TOLD_WITHIN => clocks.program - last,
+        match self.last_list.filter(|_| source == ListSource::Discovery) {
+            // Discovery would have reported an earlier start before: both clocks were stepped.
+            Some(last) if age > clocks.program - last + NOTICE_TERM_MS => clocks.program - last,
             _ => age,
         }
     }
--- a/crates/routing/src/timers.rs
+++ b/crates/routing/src/timers.rs
@@ -1,4 +1,4 @@
-//! What is to happen later, in order of time; equal times in the order they were set.
+//! Timers in order of time; timers with equal times fire in the order in which they were set.
 
 use super::flow::{FlowId, ForwardId};
 use roseproxy_decision::interface::ServerId;
@@ -7,26 +7,26 @@
 
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum Due {
-    /// The module asked for it.
+pub(super) enum TimerKind {
+    /// Timer requested by the decision module, with its token.
     Module(u64),
-    /// A forward's patience ends.
+    /// Time limit of a forward.
     Forward(ForwardId),
-    /// A flow must have its answer by now.
+    /// Time by which a flow must have its answer.
     Flow(FlowId),
-    /// A probe's patience ends; the number tells it from a later probe of the same target.
+    /// Time limit of a probe; the number distinguishes it from a later probe of the same target.
     Probe(ServerId, u64),
-    /// Where lists are pushed: discovery is to be watched anew.
+    /// Next call to discovery where lists are pushed.
     Watch,
-    /// The lease of the list in hand may have ended.
+    /// Possible change of the list's lease.
     ListLease,
 }
 
 #[derive(Debug)]
 struct Entry {
     at: f64,
-    order: u64,
-    due: Due,
+    sequence: u64,
+    kind: TimerKind,
 }
 
 impl PartialEq for Entry {
@@ -44,34 +44,35 @@
 }
 
 impl Ord for Entry {
-    // The heap gives the greatest first, so the earliest is the greatest.
+    // The heap yields the greatest entry first, so the earliest timer compares as the greatest.
     fn cmp(&self, other: &Self) -> Ordering {
-        other.at.total_cmp(&self.at).then(other.order.cmp(&self.order))
+        other.at.total_cmp(&self.at).then(other.sequence.cmp(&self.sequence))
     }
 }
 
-/// The timers of a host. Each open flow, forward and probe sets a few, so their number is bounded too.
+/// The timers of a host. Each open flow, forward and probe sets a few, so their number is bounded
+/// too.
 #[derive(Debug, Default)]
 pub(super) struct Timers {
     heap: BinaryHeap<Entry>,
-    set: u64,
+    last_sequence: u64,
 }
 
 impl Timers {
-    pub fn set(&mut self, at: f64, due: Due) {
-        self.set += 1;
-        self.heap.push(Entry { at, order: self.set, due });
+    pub fn set(&mut self, at: f64, kind: TimerKind) {
+        self.last_sequence += 1;
+        self.heap.push(Entry { at, sequence: self.last_sequence, kind });
     }
 
-    pub fn next(&self) -> Option<f64> {
-        self.heap.peek().map(|e| e.at)
+    pub fn next_time(&self) -> Option<f64> {
+        self.heap.peek().map(|entry| entry.at)
     }
 
-    /// Takes out the first timer that is due.
-    pub fn take(&mut self, now: f64) -> Option<Due> {
-        if self.next()? > now {
+    /// Removes and returns the first timer that is due.
+    pub fn take_due(&mut self, now: f64) -> Option<TimerKind> {
+        if self.next_time()? > now {
             return None;
         }
-        self.heap.pop().map(|e| e.due)
+        self.heap.pop().map(|entry| entry.kind)
     }
 }
--- a/crates/routing/tests/list_lease.rs
+++ b/crates/routing/tests/list_lease.rs
@@ -1,24 +1,25 @@
-//! What the host does by the lease of its list: who is admitted, what is sent and written, and what it says of itself.
+//! Effects of the list's lease on the host: which requests are admitted, what is sent and written,
+//! and whether the sidecar reports that it is ready.
 
 use roseproxy_decision::interface::{
     Action, Class, Effect, Event, Micros, Network, Readiness, ServerId, Settings, Update,
 };
-use roseproxy_routing::decide::Decider;
+use roseproxy_routing::decider::Decider;
 use roseproxy_routing::discovery::CallEnd;
 use roseproxy_routing::flow::{Answer, FlowId, ForwardId, NewFlow, Order, Target};
 use roseproxy_routing::Host;
 
-const BEGAN: f64 = 1_000_000.0;
-/// Half of the grace of these settings.
+const STARTED_AT: f64 = 1_000_000.0;
+/// Half of the drain grace in these settings.
 const GRACE: f64 = 750.0;
-/// After this long without a word, with the grace, a list is too old.
-const TOLD_WITHIN: f64 = 6_000.0;
+/// After this long without contact, plus the grace, a list expires.
+const NOTICE_TERM_MS: f64 = 6_000.0;
 const ENDPOINT: ServerId = ServerId(1);
 
-/// Sends each request at once, and again after 100 ms, whatever it may be told.
-struct Sends;
+/// Sends each request at once, and again after 100 ms whatever happened to the first attempt.
+struct SendsTwice;
 
-impl Decider for Sends {
+impl Decider for SendsTwice {
     fn handle(&mut self, _: Micros, event: Event, out: &mut Vec<Action>) {
         let send = |request| Action::Send { request, server: ENDPOINT, timeout: None };
         match event {
@@ -38,7 +39,7 @@
     [Target { id, address, zone: 0, cell: 0, kind: 0, power: 1.0, started_at: None, readiness }]
 }
 
-/// A host that starts on a kept list and follows discovery.
+/// Returns a host that starts with a kept list and follows discovery.
 fn host(pushed: bool) -> Host {
     let class = Class { aim: 500_000, give_up: 2_000_000, worth: 1.0, late_worth: 0.0, effect: Effect::Safe };
     let settings = Settings {
@@ -48,17 +49,17 @@
         network: Network { drain_grace: 1_500_000, ..Network::default() },
         ..Settings::default()
     };
-    let mut host = Host::with(settings, Box::new(Sends));
-    host.targets(BEGAN, Update::Complete, &list());
-    host.follow_discovery(BEGAN, BEGAN);
+    let mut host = Host::with_decider(settings, Box::new(SendsTwice));
+    host.update_targets(STARTED_AT, Update::Complete, &list());
+    host.follow_discovery(STARTED_AT, STARTED_AT);
     host
 }
 
-fn ask(host: &mut Host, at: f64) -> FlowId {
-    host.take_in(at, NewFlow { class: 0, tenant: None, key: None, time_left: 1_000.0 })
+fn request(host: &mut Host, at: f64) -> FlowId {
+    host.accept_request(at, NewFlow { class: 0, tenant: None, key: None, time_left: 1_000.0 })
 }
 
-/// What has been ordered: attempts and refusals.
+/// Drains the host's orders and returns the attempts and refusals among them.
 fn orders(host: &mut Host) -> (Vec<ForwardId>, Vec<FlowId>) {
     let (mut attempts, mut refused) = (Vec::new(), Vec::new());
     while let Some(order) = host.next_order() {
@@ -72,90 +73,95 @@
 }
 
 fn count(host: &Host, name: &str) -> u64 {
-    let lines = host.book.lines();
+    let lines = host.counters.named_counts();
     lines.iter().find(|(n, _)| n == name).unwrap_or_else(|| panic!("no counter {name}")).1
 }
 
 #[test]
-fn nothing_is_sent_by_a_list_that_is_too_old() {
+fn nothing_is_sent_with_an_expired_list() {
     for pushed in [false, true] {
         let mut host = host(pushed);
         orders(&mut host);
-        ask(&mut host, BEGAN + GRACE - 1.0);
+        request(&mut host, STARTED_AT + GRACE - 1.0);
         assert_eq!(orders(&mut host).0.len(), 1, "within the grace");
-        let id = ask(&mut host, BEGAN + GRACE);
-        assert_eq!(orders(&mut host), (vec![], vec![id]), "refused at once, which does no harm");
+        let id = request(&mut host, STARTED_AT + GRACE);
+        assert_eq!(orders(&mut host), (vec![], vec![id]), "refused at once, so that a retry is harmless");
         assert_eq!(count(&host, "refused_list_expired"), 1);
-        host.list_confirmed(BEGAN + 2_000.0);
-        ask(&mut host, BEGAN + 2_000.0);
+        host.list_confirmed(STARTED_AT + 2_000.0);
+        request(&mut host, STARTED_AT + 2_000.0);
         assert_eq!(orders(&mut host).0.len(), 1, "confirmed");
     }
 }
 
-/// A decision is asked for again at the instant of acting: the list may have become too old since.
+/// Decisions are checked again immediately before the action, since the list may have expired in
+/// between.
 #[test]
-fn an_attempt_that_was_allowed_is_not_written_nor_repeated_once_the_list_is_too_old() {
+fn an_allowed_attempt_is_neither_written_nor_repeated_once_the_list_has_expired() {
     let mut host = host(false);
     orders(&mut host);
-    let flow = ask(&mut host, BEGAN + GRACE - 50.0);
+    let flow = request(&mut host, STARTED_AT + GRACE - 50.0);
     let id = ForwardId { flow, attempt: 0 };
     assert_eq!(orders(&mut host).0, [id]);
-    let permit = host.begin_write(BEGAN + GRACE - 10.0, id).expect("it may still be written");
-    assert!(!host.may_write_on(BEGAN + GRACE, id, permit, true));
-    host.tick(BEGAN + GRACE + 60.0);
+    let permit = host.begin_write(STARTED_AT + GRACE - 10.0, id).expect("it may still be written");
+    assert!(!host.may_continue_write(STARTED_AT + GRACE, id, permit, true));
+    host.tick(STARTED_AT + GRACE + 60.0);
     assert_eq!(orders(&mut host).0, [], "no second copy");
     assert_eq!(count(&host, "attempts_withheld_list_expired"), 2);
     assert_eq!(count(&host, "violations_attempt_by_expired_list"), 0);
-    // What goes out all the same is found out, once the whole grace is over.
-    host.attempt_began(BEGAN + 2.0 * GRACE, id);
+    // An attempt that is written anyway counts as a violation once the whole grace is over.
+    host.attempt_began(STARTED_AT + 2.0 * GRACE, id);
     assert_eq!(count(&host, "violations_attempt_by_expired_list"), 0);
-    host.attempt_began(BEGAN + 2.0 * GRACE + 1.0, id);
+    host.attempt_began(STARTED_AT + 2.0 * GRACE + 1.0, id);
     assert_eq!(count(&host, "violations_attempt_by_expired_list"), 1);
 }
 
 #[test]
-fn a_sidecar_is_ready_once_its_list_is_confirmed_or_discovery_is_away() {
+fn a_sidecar_is_ready_once_its_list_is_confirmed_or_discovery_is_unavailable() {
     let mut confirmed = host(false);
-    assert!(!confirmed.can_serve(BEGAN));
-    confirmed.list_confirmed(BEGAN + 100.0);
-    assert!(confirmed.can_serve(BEGAN + 100.0));
-    assert!(!confirmed.can_serve(BEGAN + 100.0 + TOLD_WITHIN + GRACE), "and not by an old list");
+    assert!(!confirmed.can_serve(STARTED_AT));
+    confirmed.list_confirmed(STARTED_AT + 100.0);
+    assert!(confirmed.can_serve(STARTED_AT + 100.0));
+    assert!(
+        !confirmed.can_serve(STARTED_AT + 100.0 + NOTICE_TERM_MS + GRACE),
+        "not ready with an expired list"
+    );
     let mut cut_off = host(false);
-    cut_off.targets_failed(BEGAN + 1_000.0, CallEnd::Unreachable);
-    assert!(cut_off.can_serve(BEGAN + 600_000.0));
-    // That this machine could make no connection tells nothing of discovery.
-    let mut short = host(false);
-    short.list_confirmed(BEGAN);
-    short.targets_failed(BEGAN + 1_000.0, CallEnd::NotMade);
-    assert!(!short.can_serve(BEGAN + TOLD_WITHIN + GRACE));
+    cut_off.discovery_failed(STARTED_AT + 1_000.0, CallEnd::Unreachable);
+    assert!(cut_off.can_serve(STARTED_AT + 600_000.0));
+    // That this machine could not open a connection says nothing about discovery.
+    let mut out_of_ports = host(false);
+    out_of_ports.list_confirmed(STARTED_AT);
+    out_of_ports.discovery_failed(STARTED_AT + 1_000.0, CallEnd::NotMade);
+    assert!(!out_of_ports.can_serve(STARTED_AT + NOTICE_TERM_MS + GRACE));
 }
 
-/// Requests go on being served through an absence, and the log tells when the list was too old and when it was not.
+/// Requests are still served during an outage of discovery, and the log states when the list
+/// expired and when it became valid again.
 #[test]
-fn an_absence_that_begins_with_calls_that_wait_is_told_in_the_log() {
+fn an_outage_of_discovery_that_begins_with_queued_calls_is_logged() {
     let mut host = host(false);
-    host.call_started(BEGAN, Some(1));
-    host.tick(BEGAN + GRACE);
-    host.targets_failed(BEGAN + 2_000.0, CallEnd::TurnedAway);
-    host.tick(BEGAN + 5_000.0);
+    host.discovery_call_started(STARTED_AT, Some(1));
+    host.tick(STARTED_AT + GRACE);
+    host.discovery_failed(STARTED_AT + 2_000.0, CallEnd::TurnedAway);
+    host.tick(STARTED_AT + 5_000.0);
     let log = host.events.text();
     let expired = log.find("discovery list_expired unconfirmed_for=750").expect("it expired");
-    let renewed = log.find("discovery list_renewed").expect("it holds again");
+    let renewed = log.find("discovery list_renewed").expect("it is valid again");
     assert!(expired < renewed, "{log}");
     assert_eq!(count(&host, "lists_expired"), 1);
     assert_eq!(count(&host, "discovery_call_ended_turned_away"), 1);
     orders(&mut host);
-    ask(&mut host, BEGAN + 5_000.0);
+    request(&mut host, STARTED_AT + 5_000.0);
     assert_eq!(orders(&mut host).0.len(), 1);
 }
 
-/// After a move nothing says that the list is still good, until the other discovery has been heard of.
+/// After a move the list is not known to be valid until the new discovery has confirmed it.
 #[test]
-fn a_move_that_is_not_answered_ends_the_lease() {
+fn the_lease_ends_after_a_move_without_confirmation() {
     let mut host = host(false);
-    host.list_confirmed(BEGAN);
-    host.discovery_moved(BEGAN + 1_000.0, true);
-    let end = BEGAN + 1_000.0 + 4_000.0 + GRACE;
+    host.list_confirmed(STARTED_AT);
+    host.discovery_moved(STARTED_AT + 1_000.0, true);
+    let end = STARTED_AT + 1_000.0 + 4_000.0 + GRACE;
     assert!(host.can_serve(end - 1.0) && !host.can_serve(end));
     host.list_confirmed(end);
     assert!(host.can_serve(end));
--- a/crates/routing/tests/routing.rs
+++ b/crates/routing/tests/routing.rs
@@ -1,4 +1,5 @@
-//! The host round the module, without a socket: one answer for each flow, rules, timers.
+//! The host with the decision module, without sockets: one answer for each flow, the rules on
+//! repeats, and timers.
 
 use bytes::Bytes;
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
@@ -35,24 +36,24 @@
     Target { id, address, zone: 0, cell: 0, kind: 0, power: 1.0, started_at, readiness }
 }
 
-struct Rig {
+struct Harness {
     clock: f64,
     host: Host,
-    out: Vec<(ForwardId, ServerId)>,
+    open_forwards: Vec<(ForwardId, ServerId)>,
     answers: HashMap<FlowId, Vec<Answer>>,
-    given_up: Vec<ForwardId>,
+    stopped: Vec<ForwardId>,
     probes: Vec<ServerId>,
 }
 
-impl Rig {
-    fn new() -> Rig {
+impl Harness {
+    fn new() -> Harness {
         let clock = 1_000_000.0;
         let host = Host::new(settings(), 11, clock);
-        let (out, answers, given_up, probes) = (Vec::new(), HashMap::new(), Vec::new(), Vec::new());
-        let mut rig = Rig { clock, host, out, answers, given_up, probes };
+        let (open_forwards, answers, stopped, probes) = (Vec::new(), HashMap::new(), Vec::new(), Vec::new());
+        let mut harness = Harness { clock, host, open_forwards, answers, stopped, probes };
         let group: Vec<Target> = (0..3).map(|i| target(i, Readiness::Ready)).collect();
-        rig.host.targets(rig.clock, Update::Complete, &group);
-        rig
+        harness.host.update_targets(harness.clock, Update::Complete, &group);
+        harness
     }
 
     fn now(&self) -> f64 {
@@ -62,16 +63,16 @@
     fn wait(&mut self, millis: f64) {
         self.clock += millis;
         self.host.tick(self.now());
-        self.orders();
+        self.collect_orders();
     }
 
-    fn orders(&mut self) {
+    fn collect_orders(&mut self) {
         while let Some(order) = self.host.next_order() {
             match order {
-                Order::Forward { id, target, .. } => self.out.push((id, target)),
+                Order::Forward { id, target, .. } => self.open_forwards.push((id, target)),
                 Order::GiveUp(id) => {
-                    self.out.retain(|(o, _)| *o != id);
-                    self.given_up.push(id);
+                    self.open_forwards.retain(|(o, _)| *o != id);
+                    self.stopped.push(id);
                 }
                 Order::Answer(id, answer) => self.answers.entry(id).or_default().push(answer),
                 Order::Probe(target, _) => self.probes.push(target),
@@ -81,16 +82,17 @@
         }
     }
 
-    fn flow(&mut self, class: usize, time_left: f64) -> FlowId {
-        let id = self.host.take_in(self.now(), NewFlow { class, tenant: None, key: Some(5), time_left });
-        self.orders();
+    fn open_flow(&mut self, class: usize, time_left: f64) -> FlowId {
+        let id =
+            self.host.accept_request(self.now(), NewFlow { class, tenant: None, key: Some(5), time_left });
+        self.collect_orders();
         id
     }
 
-    fn end(&mut self, id: ForwardId, end: ForwardEnd) {
-        self.out.retain(|(o, _)| *o != id);
+    fn end_forward(&mut self, id: ForwardId, end: ForwardEnd) {
+        self.open_forwards.retain(|(o, _)| *o != id);
         self.host.forward_ended(self.now(), id, end, None);
-        self.orders();
+        self.collect_orders();
     }
 
     fn answers(&self, id: FlowId) -> &[Answer] {
@@ -99,183 +101,194 @@
 }
 
 #[test]
-fn a_silent_target_still_leaves_the_client_an_answer_in_time() {
+fn a_client_of_an_unresponsive_target_is_answered_in_time() {
     for class in [QUOTE, PLACE_ORDER] {
-        let mut rig = Rig::new();
-        let id = rig.flow(class, 600.0);
-        assert_eq!(rig.out.len(), 1);
-        rig.wait(585.0);
-        assert_eq!(rig.answers(id).len(), 1, "no answer 15 ms before the client gives up");
-        assert!(rig.out.is_empty(), "the forward is given up with it");
-        // What comes after that is not heard.
-        rig.end(ForwardId { flow: id, attempt: 0 }, ForwardEnd::Served(Bytes::from_static(b"late")));
-        assert_eq!(rig.answers(id).len(), 1);
+        let mut harness = Harness::new();
+        let id = harness.open_flow(class, 600.0);
+        assert_eq!(harness.open_forwards.len(), 1);
+        harness.wait(585.0);
+        assert_eq!(harness.answers(id).len(), 1, "no answer 15 ms before the client gives up");
+        assert!(harness.open_forwards.is_empty(), "the forward is stopped with it");
+        // A later end of the forward is ignored.
+        harness
+            .end_forward(ForwardId { flow: id, attempt: 0 }, ForwardEnd::Served(Bytes::from_static(b"late")));
+        assert_eq!(harness.answers(id).len(), 1);
     }
 }
 
 #[test]
-fn unsafe_work_whose_last_byte_went_out_is_failed_and_never_sent_again() {
-    let mut rig = Rig::new();
-    let id = rig.flow(PLACE_ORDER, 1000.0);
-    rig.end(ForwardId { flow: id, attempt: 0 }, ForwardEnd::Lost(Outcome::Broken));
-    assert_eq!(rig.answers(id), [Answer::Failed]);
-    assert!(rig.out.is_empty());
+fn an_unsafe_request_that_was_fully_written_is_failed_and_never_resent() {
+    let mut harness = Harness::new();
+    let id = harness.open_flow(PLACE_ORDER, 1000.0);
+    harness.end_forward(ForwardId { flow: id, attempt: 0 }, ForwardEnd::Failed(Outcome::Broken));
+    assert_eq!(harness.answers(id), [Answer::Failed]);
+    assert!(harness.open_forwards.is_empty());
 }
 
 #[test]
-fn unsafe_work_that_never_ran_goes_out_again() {
-    let mut rig = Rig::new();
-    let id = rig.flow(PLACE_ORDER, 1000.0);
-    rig.end(ForwardId { flow: id, attempt: 0 }, ForwardEnd::Lost(Outcome::Unreachable));
-    assert_eq!(rig.out[0].0, ForwardId { flow: id, attempt: 1 });
+fn an_unsafe_request_that_never_ran_is_resent() {
+    let mut harness = Harness::new();
+    let id = harness.open_flow(PLACE_ORDER, 1000.0);
+    harness.end_forward(ForwardId { flow: id, attempt: 0 }, ForwardEnd::Failed(Outcome::Unreachable));
+    assert_eq!(harness.open_forwards[0].0, ForwardId { flow: id, attempt: 1 });
 }
 
 #[test]
-fn a_client_that_left_is_owed_nothing_and_its_forwards_are_given_up() {
-    let mut rig = Rig::new();
-    let id = rig.flow(QUOTE, 1000.0);
-    rig.host.client_gone(rig.now(), id);
-    rig.orders();
-    assert_eq!(rig.given_up, [ForwardId { flow: id, attempt: 0 }]);
-    rig.wait(2000.0);
-    assert!(rig.answers(id).is_empty());
-    assert_eq!(rig.host.open_flows(), 0);
+fn the_forwards_of_a_client_that_left_are_stopped_without_an_answer() {
+    let mut harness = Harness::new();
+    let id = harness.open_flow(QUOTE, 1000.0);
+    harness.host.client_left(harness.now(), id);
+    harness.collect_orders();
+    assert_eq!(harness.stopped, [ForwardId { flow: id, attempt: 0 }]);
+    harness.wait(2000.0);
+    assert!(harness.answers(id).is_empty());
+    assert_eq!(harness.host.open_flows(), 0);
 }
 
 #[test]
-fn word_of_a_departure_between_decision_and_send_stops_the_send() {
-    let mut rig = Rig::new();
-    rig.flow(QUOTE, 1900.0);
-    let (id, to) = rig.out[0];
-    assert!(rig.host.begin_write(rig.now(), id).is_some());
-    rig.host.targets(rig.now(), Update::Changes, &[target(to.0, Readiness::Draining)]);
-    assert!(rig.host.begin_write(rig.now(), id).is_some(), "a drain leaves some grace");
-    rig.clock += 1000.0;
-    assert!(rig.host.begin_write(rig.now(), id).is_none(), "and no more than that");
-    rig.end(id, ForwardEnd::Lost(Outcome::NotSent));
-    let again: Vec<_> = rig.out.iter().map(|(_, to)| *to).collect();
+fn a_drain_notice_between_decision_and_send_stops_the_send() {
+    let mut harness = Harness::new();
+    harness.open_flow(QUOTE, 1900.0);
+    let (id, to) = harness.open_forwards[0];
+    assert!(harness.host.begin_write(harness.now(), id).is_some());
+    harness.host.update_targets(harness.now(), Update::Changes, &[target(to.0, Readiness::Draining)]);
+    assert!(harness.host.begin_write(harness.now(), id).is_some(), "a drain leaves some grace");
+    harness.clock += 1000.0;
+    assert!(harness.host.begin_write(harness.now(), id).is_none(), "and no more than that");
+    harness.end_forward(id, ForwardEnd::Failed(Outcome::NotSent));
+    let again: Vec<_> = harness.open_forwards.iter().map(|(_, to)| *to).collect();
     assert!(again.len() == 1 && again[0] != to, "it goes elsewhere: {again:?}");
 }
 
 #[test]
-fn only_a_complete_list_removes_the_absent() {
-    let mut rig = Rig::new();
-    rig.host.targets(rig.now(), Update::Changes, &[target(0, Readiness::Gone), target(1, Readiness::Gone)]);
-    assert!(rig.host.can_serve(rig.now()), "the third was not named and stays");
-    rig.host.targets_failed(rig.now(), CallEnd::Unreachable);
-    assert!(rig.host.can_serve(rig.now()), "a failure changes nothing");
-    rig.host.targets(rig.now(), Update::Complete, &[]);
-    assert!(!rig.host.can_serve(rig.now()));
+fn only_a_complete_list_removes_targets_it_does_not_name() {
+    let mut harness = Harness::new();
+    harness.host.update_targets(
+        harness.now(),
+        Update::Changes,
+        &[target(0, Readiness::Gone), target(1, Readiness::Gone)],
+    );
+    assert!(harness.host.can_serve(harness.now()), "the third was not named and stays");
+    harness.host.discovery_failed(harness.now(), CallEnd::Unreachable);
+    assert!(harness.host.can_serve(harness.now()), "a failure changes nothing");
+    harness.host.update_targets(harness.now(), Update::Complete, &[]);
+    assert!(!harness.host.can_serve(harness.now()));
 }
 
 #[test]
-fn more_flows_than_the_platform_allows_are_refused_unseen() {
-    let mut rig = Rig::new();
-    let ids: Vec<_> = (0..60).map(|_| rig.flow(PLACE_ORDER, 1000.0)).collect();
-    assert!(rig.host.open_flows() <= 50);
-    assert_eq!(rig.answers(ids[59]), [Answer::Refused { retry_after: 0.0 }]);
-    let late = rig.flow(QUOTE, 5.0);
-    assert!(matches!(rig.answers(late), [Answer::Refused { .. }]), "no time is left to serve it");
+fn flows_beyond_the_limit_are_refused_without_the_decision_module() {
+    let mut harness = Harness::new();
+    let ids: Vec<_> = (0..60).map(|_| harness.open_flow(PLACE_ORDER, 1000.0)).collect();
+    assert!(harness.host.open_flows() <= 50);
+    assert_eq!(harness.answers(ids[59]), [Answer::Refused { retry_after: 0.0 }]);
+    let late = harness.open_flow(QUOTE, 5.0);
+    assert!(matches!(harness.answers(late), [Answer::Refused { .. }]), "no time is left to serve it");
 }
 
 #[test]
-fn a_probe_without_an_answer_ends() {
-    let mut rig = Rig::new();
+fn an_unanswered_probe_times_out() {
+    let mut harness = Harness::new();
     for _ in 0..40 {
-        rig.flow(QUOTE, 1000.0);
+        harness.open_flow(QUOTE, 1000.0);
     }
-    let out = rig.probes.len();
+    let out = harness.probes.len();
     assert!(out > 0);
-    rig.wait(301.0);
-    assert!(rig.probes.is_empty(), "given up");
-    rig.host.probe_ended(rig.now(), ServerId(0), ProbeEnd { outcome: Outcome::Served, load: None });
+    harness.wait(301.0);
+    assert!(harness.probes.is_empty(), "the probe is stopped");
+    harness.host.probe_ended(harness.now(), ServerId(0), ProbeEnd { outcome: Outcome::Served, load: None });
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Take(bool, u8),
-    End(u8, u8),
-    Leave(u8),
+    Request(bool, u8),
+    EndForward(u8, u8),
+    ClientLeaves(u8),
     Wait(u8),
-    Turn(u8, u8),
-    Fail,
+    ChangeReadiness(u8, u8),
+    DiscoveryFails,
 }
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Step {
         let (a, b) = (u8::arbitrary(g), u8::arbitrary(g));
         match u8::arbitrary(g) % 10 {
-            0..=2 => Step::Take(a > 127, b),
-            3..=5 => Step::End(a, b),
-            6 => Step::Leave(a),
-            7 => Step::Turn(a, b),
-            8 if a > 200 => Step::Fail,
+            0..=2 => Step::Request(a > 127, b),
+            3..=5 => Step::EndForward(a, b),
+            6 => Step::ClientLeaves(a),
+            7 => Step::ChangeReadiness(a, b),
+            8 if a > 200 => Step::DiscoveryFails,
             _ => Step::Wait(a),
         }
     }
 }
 
-/// Whatever races whatever: a flow has one answer or its client left, a repeat comes only where the
-/// class allows it, and nothing is forwarded for a flow that is over.
-fn one_answer_each(steps: Vec<Step>) -> TestResult {
-    let mut rig = Rig::new();
+/// Property: for any interleaving of events, a flow gets one answer or its client left, a repeat is
+/// sent only if its class allows it, and nothing is forwarded for a flow that has ended.
+fn check_one_answer_each(steps: Vec<Step>) -> TestResult {
+    let mut harness = Harness::new();
     let (mut flows, mut gone) = (Vec::new(), Vec::new());
     let mut may_have_run: HashMap<FlowId, bool> = HashMap::new();
     let mut seen = 0;
     for step in steps {
         match step {
-            Step::Take(order, time) => {
+            Step::Request(order, time) => {
                 let class = if order { PLACE_ORDER } else { QUOTE };
-                flows.push((rig.flow(class, f64::from(time) * 8.0), class));
+                flows.push((harness.open_flow(class, f64::from(time) * 8.0), class));
             }
-            Step::End(which, how) if !rig.out.is_empty() => {
-                let (id, _) = rig.out[usize::from(which) % rig.out.len()];
-                let end = match how % 5 {
+            Step::EndForward(which, choice) if !harness.open_forwards.is_empty() => {
+                let (id, _) = harness.open_forwards[usize::from(which) % harness.open_forwards.len()];
+                let end = match choice % 5 {
                     0 => ForwardEnd::Served(Bytes::from_static(b"priced")),
-                    1 => ForwardEnd::Lost(Outcome::Broken),
-                    2 => ForwardEnd::Lost(Outcome::Rejected),
-                    3 => ForwardEnd::Lost(Outcome::Unreachable),
-                    _ => ForwardEnd::Lost(Outcome::Error),
+                    1 => ForwardEnd::Failed(Outcome::Broken),
+                    2 => ForwardEnd::Failed(Outcome::Rejected),
+                    3 => ForwardEnd::Failed(Outcome::Unreachable),
+                    _ => ForwardEnd::Failed(Outcome::Error),
                 };
                 let ran = matches!(end.outcome(), Outcome::Broken | Outcome::Error | Outcome::Served);
                 *may_have_run.entry(id.flow).or_default() |= ran;
-                rig.end(id, end);
+                harness.end_forward(id, end);
             }
-            Step::Leave(which) if !flows.is_empty() => {
+            Step::ClientLeaves(which) if !flows.is_empty() => {
                 let (id, _) = flows[usize::from(which) % flows.len()];
-                if rig.answers(id).is_empty() && !gone.contains(&id) {
+                if harness.answers(id).is_empty() && !gone.contains(&id) {
                     gone.push(id);
                 }
-                rig.host.client_gone(rig.now(), id);
-                rig.orders();
+                harness.host.client_left(harness.now(), id);
+                harness.collect_orders();
             }
-            Step::Wait(time) => rig.wait(f64::from(time)),
-            Step::Turn(which, how) => {
+            Step::Wait(time) => harness.wait(f64::from(time)),
+            Step::ChangeReadiness(which, choice) => {
                 let readiness =
-                    [Readiness::Ready, Readiness::Draining, Readiness::Gone][usize::from(how) % 3];
-                rig.host.targets(rig.now(), Update::Changes, &[target(u64::from(which) % 3, readiness)]);
-                rig.orders();
+                    [Readiness::Ready, Readiness::Draining, Readiness::Gone][usize::from(choice) % 3];
+                harness.host.update_targets(
+                    harness.now(),
+                    Update::Changes,
+                    &[target(u64::from(which) % 3, readiness)],
+                );
+                harness.collect_orders();
             }
-            Step::Fail => {
-                rig.host.targets_failed(rig.now(), CallEnd::Unreachable);
-                rig.orders();
+            Step::DiscoveryFails => {
+                harness.host.discovery_failed(harness.now(), CallEnd::Unreachable);
+                harness.collect_orders();
             }
-            Step::End(..) | Step::Leave(_) => {}
+            Step::EndForward(..) | Step::ClientLeaves(_) => {}
         }
-        for (id, _) in &rig.out[seen.min(rig.out.len())..] {
+        for (id, _) in &harness.open_forwards[seen.min(harness.open_forwards.len())..] {
             let class = flows.iter().find(|(f, _)| *f == id.flow).map(|(_, c)| *c);
             if class == Some(PLACE_ORDER) && id.attempt > 0 && may_have_run.get(&id.flow) == Some(&true) {
                 return TestResult::error(format!("{id:?} runs twice"));
             }
         }
-        seen = rig.out.len();
-        if let Some((id, _)) = rig.out.iter().find(|(id, _)| !rig.answers(id.flow).is_empty()) {
+        seen = harness.open_forwards.len();
+        if let Some((id, _)) =
+            harness.open_forwards.iter().find(|(id, _)| !harness.answers(id.flow).is_empty())
+        {
             return TestResult::error(format!("{id:?} is out for a flow that has its answer"));
         }
     }
-    rig.wait(60_000.0);
+    harness.wait(60_000.0);
     for (id, class) in flows {
-        let answers = rig.answers(id);
+        let answers = harness.answers(id);
         if answers.len() + usize::from(gone.contains(&id)) != 1 {
             return TestResult::error(format!("flow {id} has {answers:?}"));
         }
@@ -284,11 +297,11 @@
             return TestResult::error(format!("flow {id} may have run and is refused"));
         }
     }
-    TestResult::from_bool(rig.host.open_flows() == 0)
+    TestResult::from_bool(harness.host.open_flows() == 0)
 }
 
 #[test]
-fn every_race_leaves_one_answer() {
+fn every_race_ends_in_one_answer() {
     let rng = Gen::from_size_and_seed(120, 0xf10e);
-    QuickCheck::new().rng(rng).tests(400).quickcheck(one_answer_each as fn(Vec<Step>) -> TestResult);
+    QuickCheck::new().rng(rng).tests(400).quickcheck(check_one_answer_each as fn(Vec<Step>) -> TestResult);
 }
--- a/crates/transport/src/attempt.rs
+++ b/crates/transport/src/attempt.rs
@@ -35,7 +35,7 @@
         let within = ((until - self.now()) * CONNECT_SHARE).max(CONNECT_LEAST);
         let (end, load) = match self.line(target, address, within).await {
             Ok(line) => self.exchange(id, target, until, &wait, line).await,
-            Err(outcome) => (ForwardEnd::Lost(outcome), None),
+            Err(outcome) => (ForwardEnd::Failed(outcome), None),
         };
         self.timed(Activity::AttemptEnd, |host, now| host.forward_ended(now, id, end, load));
         self.settle();
@@ -55,14 +55,14 @@
         let permit = self.host.borrow_mut().begin_write(now, id);
         let Some(permit) = permit else {
             self.keep(target, line);
-            return (ForwardEnd::Lost(Outcome::NotSent), None);
+            return (ForwardEnd::Failed(Outcome::NotSent), None);
         };
         // Neither behind its time nor once nobody waits for it may a request be written on.
         let too_late = async {
             tokio::select! {
                 biased;
                 () = ended.notified() => {}
-                () = at(permit.whole_by - now) => {}
+                () = at(permit.write_deadline - now) => {}
             }
         };
         let told = until - now;
@@ -76,7 +76,7 @@
             Exchange::Broke { last_byte_written: false }
                 if writing.withheld.get() || !self.waiting.borrow().contains_key(&id.flow) =>
             {
-                (ForwardEnd::Lost(Outcome::NotSent), None)
+                (ForwardEnd::Failed(Outcome::NotSent), None)
             }
             Exchange::Broke { last_byte_written } => (outcome::of_break(last_byte_written), None),
         }
@@ -91,7 +91,7 @@
     /// Whether an attempt may be written on at this instant; one whose client has left ends here.
     fn may_write_on(self: &Rc<Self>, id: ForwardId, permit: WritePermit) -> bool {
         let present = self.client_is_there(id.flow);
-        let allowed = self.host.borrow_mut().may_write_on(self.now(), id, permit, present);
+        let allowed = self.host.borrow_mut().may_continue_write(self.now(), id, permit, present);
         if !present {
             self.client_gone(id.flow);
         }
@@ -103,7 +103,7 @@
         let (now, mut host) = (self.now(), self.host.borrow_mut());
         match milestone {
             Milestone::Began => host.attempt_began(now, id),
-            Milestone::Whole => host.attempt_whole(now, id, told),
+            Milestone::Whole => host.attempt_written(now, id, told),
         }
     }
 }
--- a/crates/transport/src/gateway.rs
+++ b/crates/transport/src/gateway.rs
@@ -13,10 +13,10 @@
 use roseproxy_platform::load;
 use roseproxy_platform::request::{Classes, Outgoing, Passing};
 use roseproxy_routing::discovery::{CallEnd, DiscoveryEvent};
-use roseproxy_routing::event_log::{shortened, Activity, CloseReason, EventKind, Sink};
+use roseproxy_routing::event_log::{truncate_client_id, Activity, CloseReason, EventKind, Sink};
 use roseproxy_routing::flow::{Answer, FlowId, ForwardId, NewFlow, Order, ProbeEnd, Target};
 use roseproxy_routing::invariants::Violation;
-use roseproxy_routing::start_times::{Clocks, Source, StartTimes};
+use roseproxy_routing::start_times::{Clocks, ListSource, StartTimes};
 use roseproxy_routing::time::{to_millis, Now};
 use roseproxy_routing::Host;
 use std::cell::{Cell, RefCell};
@@ -122,8 +122,8 @@
             return None;
         }
         let (answer, receiver) = oneshot::channel();
-        let id = self.timed(Activity::Request, |host, now| host.take_in(now, new));
-        let client_id = shortened(passing.id.as_bytes());
+        let id = self.timed(Activity::Request, |host, now| host.accept_request(now, new));
+        let client_id = truncate_client_id(passing.id.as_bytes());
         let taken = EventKind::Taken { client_id, class: new.class, time_left: new.time_left };
         self.host.borrow_mut().events.record(self.now(), Some(id), taken);
         let waiting = Waiting { passing: Rc::new(passing), client, answer, ended: Rc::default() };
@@ -143,7 +143,7 @@
     /// The client of a flow has left. Of one that has its answer this changes nothing.
     pub fn client_gone(self: &Rc<Self>, id: FlowId) {
         if self.end_wait(id).is_some() {
-            self.timed(Activity::Departure, |host, now| host.client_gone(now, id));
+            self.timed(Activity::Departure, |host, now| host.client_left(now, id));
             self.settle();
         }
     }
@@ -155,23 +155,34 @@
 
     /// A list of the target group that was kept from before.
     pub fn targets(self: &Rc<Self>, update: Update, targets: &[Target]) {
-        self.take_list(Source::Kept, update, targets.to_vec(), false);
+        self.take_list(ListSource::Kept, update, targets.to_vec(), false);
     }
 
     /// A list that discovery has told. In one that is behind the list in hand, who leaves is not taken back into
     /// service by it.
     pub(super) fn listed(self: &Rc<Self>, update: Update, targets: Vec<Target>, behind: bool) {
-        self.take_list(Source::Discovery, update, targets, behind);
+        self.take_list(ListSource::Discovery, update, targets, behind);
     }
 
-    fn take_list(self: &Rc<Self>, source: Source, update: Update, mut targets: Vec<Target>, behind: bool) {
+    fn take_list(
+        self: &Rc<Self>,
+        source: ListSource,
+        update: Update,
+        mut targets: Vec<Target>,
+        behind: bool,
+    ) {
         let program = self.now();
         let wall = self.wall.borrow().as_ref().map_or(program, |wall| wall());
-        self.starts.borrow_mut().place(Clocks { program, wall }, source, update, &mut targets);
+        self.starts.borrow_mut().place_on_program_clock(
+            Clocks { program, wall },
+            source,
+            update,
+            &mut targets,
+        );
         if behind {
-            self.host.borrow().keep_leaving(&mut targets);
+            self.host.borrow().preserve_leaving(&mut targets);
         }
-        self.timed(Activity::List, |host, now| host.targets(now, update, &targets));
+        self.timed(Activity::List, |host, now| host.update_targets(now, update, &targets));
         self.settle();
     }
 
@@ -182,13 +193,13 @@
 
     /// A call to discovery failed, or the watch broke.
     pub fn targets_failed(self: &Rc<Self>, end: CallEnd) {
-        self.host.borrow_mut().targets_failed(self.now(), end);
+        self.host.borrow_mut().discovery_failed(self.now(), end);
         self.settle();
     }
 
     /// Records what happened between this sidecar and discovery.
     pub(super) fn discovery_event(&self, event: DiscoveryEvent) {
-        self.host.borrow_mut().discovery_event(self.now(), event);
+        self.host.borrow_mut().record_discovery_event(self.now(), event);
     }
 
     /// From now on discovery is followed; the list in hand is one that was kept from before the start, at this time (ms).
@@ -199,7 +210,7 @@
 
     /// A call to discovery goes out.
     pub(super) fn call_started(self: &Rc<Self>, revision: Option<u64>) {
-        self.host.borrow_mut().call_started(self.now(), revision);
+        self.host.borrow_mut().discovery_call_started(self.now(), revision);
         self.settle();
     }
 
@@ -235,7 +246,7 @@
 
     /// Has warnings printed as they happen, or each event.
     pub fn log_to(&self, sink: Sink, every: bool) {
-        self.host.borrow_mut().events.log_to(sink, every);
+        self.host.borrow_mut().events.set_sink(sink, every);
     }
 
     /// Records an event of no request.
@@ -255,15 +266,15 @@
         host.events.record(self.now(), open, EventKind::Closed(reason));
         let by_client = matches!(reason, CloseReason::Client | CloseReason::Departed);
         if open.is_some() && !by_client {
-            host.violated(self.now(), open, Violation::ClosedUnanswered);
+            host.record_violation(self.now(), open, Violation::ClosedUnanswered);
         }
     }
 
     /// The process ends now: what is still open is lost.
     pub fn exiting(&self) {
         let mut host = self.host.borrow_mut();
-        for request in host.open_ids() {
-            host.violated(self.now(), Some(request), Violation::OpenAtExit);
+        for request in host.open_flow_ids() {
+            host.record_violation(self.now(), Some(request), Violation::OpenAtExit);
         }
     }
 
@@ -276,14 +287,14 @@
     /// Returns how many were open.
     pub fn end(self: &Rc<Self>) -> usize {
         let open = self.open_flows();
-        self.host.borrow_mut().end(self.now());
+        self.host.borrow_mut().begin_shutdown(self.now());
         self.settle();
         open
     }
 
     /// Endpoints that the list in hand names.
     pub(super) fn endpoints(&self) -> usize {
-        self.host.borrow().endpoints()
+        self.host.borrow().endpoint_count()
     }
 
     /// Flows without an answer.
@@ -293,7 +304,7 @@
 
     /// All counts by name.
     pub fn counts(&self) -> Vec<(String, u64)> {
-        let mut lines = self.host.borrow().book.lines();
+        let mut lines = self.host.borrow().counters.named_counts();
         lines.extend(self.host.borrow().picture());
         lines.extend(self.traffic.lines());
         let now = [
@@ -309,7 +320,7 @@
     /// Lets routing's timers go off; runs as long as the program.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
-            let due = self.host.borrow().next_due();
+            let due = self.host.borrow().next_timer();
             self.armed.set(due.unwrap_or(f64::INFINITY));
             match due {
                 Some(due) => tokio::select! {
@@ -345,14 +356,14 @@
     /// The one thread was busy with this since then (ms).
     pub(super) fn note_held_up(&self, activity: Activity, began: f64) {
         let now = self.now();
-        self.host.borrow_mut().held_up(now, activity, now - began);
+        self.host.borrow_mut().record_held_up(now, activity, now - began);
     }
 
     /// Timers that were due then go off only now.
     fn note_late_timers(&self, due: Option<f64>) {
         let now = self.now();
         if let Some(late) = due.map(|due| now - due) {
-            self.host.borrow_mut().timers_late(now, late);
+            self.host.borrow_mut().record_late_timers(now, late);
         }
     }
 
@@ -365,14 +376,14 @@
                 None => break,
             }
         }
-        if self.host.borrow().next_due().is_some_and(|due| due < self.armed.get()) {
+        if self.host.borrow().next_timer().is_some_and(|due| due < self.armed.get()) {
             self.rearm.notify_one();
         }
     }
 
     fn carry_out(self: &Rc<Self>, order: Order) {
         match order {
-            Order::Forward { id, target, address, patience } => {
+            Order::Forward { id, target, address, timeout: patience } => {
                 let wait = self.waiting.borrow().get(&id.flow).map(|w| (w.passing.clone(), w.ended.clone()));
                 // Routing sends only for flows that it holds open, and those wait here.
                 let Some(wait) = wait else { return };
--- a/crates/transport/src/traffic.rs
+++ b/crates/transport/src/traffic.rs
@@ -1,7 +1,7 @@
 //! What the sockets count.
 
-use roseproxy_routing::event_log::{CloseReason, CLOSES};
-use roseproxy_routing::kinds;
+use roseproxy_routing::event_log::{CloseReason, CLOSE_REASONS};
+use roseproxy_routing::labels;
 use std::cell::{Cell, RefCell};
 
 /// What the sockets count.
@@ -31,14 +31,14 @@
     pub bad_reports: Cell<u64>,
     /// Discovery lines and entries that could not be read.
     pub bad_lists: Cell<u64>,
-    /// Client connections closed by reason, in the order of [`CLOSES`].
-    pub closes: RefCell<[u64; CLOSES.len()]>,
+    /// Client connections closed by reason, in the order of [`CLOSE_REASONS`].
+    pub closes: RefCell<[u64; CLOSE_REASONS.len()]>,
 }
 
 impl Traffic {
     /// A client's connection has ended.
     pub(super) fn closed(&self, reason: CloseReason) {
-        kinds::add(&mut *self.closes.borrow_mut(), &CLOSES, reason);
+        labels::increment(&mut *self.closes.borrow_mut(), &CLOSE_REASONS, reason);
     }
 
     /// Every count with its name.
@@ -58,7 +58,7 @@
             ("lists_unread", &self.bad_lists),
         ];
         let mut lines: Vec<_> = counts.map(|(name, count)| (name.to_owned(), count.get())).into();
-        lines.extend(kinds::named("clients_closed_by", &CLOSES, &*self.closes.borrow()));
+        lines.extend(labels::labelled_counts("clients_closed_by", &CLOSE_REASONS, &*self.closes.borrow()));
         lines
     }
 }
