--- a/crates/decision/src/slow_start.rs
+++ b/crates/decision/src/slow_start.rs
@@ -2,7 +2,7 @@
 
 use crate::interface::{GiveUpReason, RequestId};
 use crate::state::Balancer;
-use roseproxy_fleet::draw::pick as pick_by_share;
+use roseproxy_fleet::draw::pick_by_share;
 
 impl Balancer {
     /// Updates the throughput of warm servers, from which the budgets of cold servers are derived.
@@ -17,20 +17,20 @@
                 warm_power += self.servers[slot].info.power;
             }
         }
-        self.slow_start.observe(self.now, warm_power, power);
+        self.slow_start.observe_power(self.now, warm_power, power);
     }
 
     /// Counts an answer to one of this sidecar's attempts, if the server is warm.
     pub(crate) fn count_answer(&mut self, slot: usize) {
         if self.warmth(slot) >= 1.0 {
-            self.slow_start.served(self.now);
+            self.slow_start.record_answer(self.now);
         }
     }
 
     /// Maximum share of this sidecar's calls that a server may get.
     pub(crate) fn slow_start_share(&self, slot: usize) -> f64 {
         let server = &self.servers[slot].info;
-        let share = self.slow_start.share(self.now, self.warmth(slot), server.power);
+        let share = self.slow_start.max_share(self.now, self.warmth(slot), server.power);
         // In a large fleet a server is chosen in two ways: as the home of keys, and from the share table.
         if self.settings.warm_keys && self.visible_share() < 1.0 {
             share / 2.0
@@ -50,7 +50,7 @@
     fn budget_allows_call(&mut self, slot: usize) -> bool {
         let warmth = self.warmth(slot);
         let server = &self.servers[slot].info;
-        self.slow_start.allows(self.now, server.id.0, warmth, server.power)
+        self.slow_start.allows_call(self.now, server.id.0, warmth, server.power)
     }
 
     /// The server drawn with this share or, if its budget is used up, another one of `others` (of all servers
--- a/crates/decision/src/state.rs
+++ b/crates/decision/src/state.rs
@@ -4,11 +4,11 @@
     Action, ClassId, Micros, Outcome, Prices, Readiness, RequestId, Server, ServerId, Settings,
 };
 use rand_xoshiro::Xoshiro128PlusPlus;
-use roseproxy_fleet::calls::CallSchedule;
+use roseproxy_fleet::discovery_calls::CallSchedule;
 use roseproxy_fleet::draw;
-use roseproxy_fleet::homes::{Homes, Place};
+use roseproxy_fleet::key_homes::{HomeCandidate, KeyHomes};
 use roseproxy_fleet::slow_start::SlowStart;
-use roseproxy_fleet::tenants::Tenants;
+use roseproxy_fleet::tenants::TenantQuotas;
 use std::collections::HashMap;
 
 /// Failure score from which on a server is suspect and set aside.
@@ -188,11 +188,11 @@
     /// Requests that await probes, oldest first.
     pub(crate) awaiting_probes: Vec<RequestId>,
     /// Home servers of recently requested keys.
-    pub(crate) homes: Homes,
+    pub(crate) homes: KeyHomes,
     /// Budgets of calls to cold servers.
     pub(crate) slow_start: SlowStart,
     /// Recent traffic of each tenant, and this sidecar's share of all traffic.
-    pub(crate) tenants: Tenants,
+    pub(crate) tenants: TenantQuotas,
     /// Smoothed work of each class.
     pub(crate) class_work: Vec<f64>,
     /// Smoothed work of answered requests.
@@ -227,7 +227,7 @@
     /// it.
     pub(crate) lowest_fill_level: f64,
     /// Servers that may be homes of keys, by id.
-    pub(crate) home_candidates: Vec<Place>,
+    pub(crate) home_candidates: Vec<HomeCandidate>,
     /// `share_table_at` of the table that they were computed with.
     pub(crate) home_candidates_at: Option<Micros>,
     /// Number of changes of the home candidates.
@@ -269,7 +269,7 @@
 
     /// Share of what happens at the servers that this sidecar sees by itself; 1 in small fleets.
     pub(crate) fn visible_share(&self) -> f64 {
-        roseproxy_fleet::sight(self.settings.sidecars)
+        roseproxy_fleet::visibility(self.settings.sidecars)
     }
 
     /// Handles the start of a streamed answer: its attempts no longer count as in flight, however long the
@@ -363,7 +363,7 @@
     /// A balancer without servers, requests or estimates.
     pub(crate) fn empty(settings: Settings, rng: Xoshiro128PlusPlus, now: Micros) -> Self {
         Balancer {
-            tenants: Tenants::new(&settings.tenants, settings.sidecars),
+            tenants: TenantQuotas::new(&settings.tenants, settings.sidecars),
             discovery_calls: CallSchedule::new(settings.sidecars, settings.max_poll_interval),
             slow_start: SlowStart::new(settings.sidecars, settings.ramp()),
             settings,
@@ -379,7 +379,7 @@
             kinds: HashMap::new(),
             requests: HashMap::new(),
             awaiting_probes: Vec::new(),
-            homes: Homes::default(),
+            homes: KeyHomes::default(),
             class_work: Vec::new(),
             mean_work: 0.0,
             request_rate: 0.0,
--- a/crates/roseproxy/tests/common/cold_fleet.rs
+++ b/crates/roseproxy/tests/common/cold_fleet.rs
@@ -246,7 +246,7 @@
     pub fn publish_list(&mut self, update: Update) {
         let targets: Vec<Target> = self.servers.values().map(|server| server.target.clone()).collect();
         for host in 0..self.hosts.len() {
-            self.hosts[host].targets(self.now, update, &targets);
+            self.hosts[host].update_targets(self.now, update, &targets);
             self.execute_orders(host);
         }
     }
@@ -264,7 +264,7 @@
         let until = EPOCH_MS + until;
         loop {
             let due =
-                self.hosts.iter().enumerate().filter_map(|(index, host)| Some((host.next_due()?, index)));
+                self.hosts.iter().enumerate().filter_map(|(index, host)| Some((host.next_timer()?, index)));
             let due = due.min_by(|a, b| a.0.total_cmp(&b.0));
             let next = self.schedule.next_at();
             let tick = due.filter(|(at, _)| *at <= next);
@@ -293,7 +293,7 @@
                 self.release(server);
                 self.end_attempt(host, id, ForwardEnd::Served(bytes::Bytes::from_static(b"priced")));
             }
-            Event::Lost { host, id, outcome } => self.end_attempt(host, id, ForwardEnd::Lost(outcome)),
+            Event::Lost { host, id, outcome } => self.end_attempt(host, id, ForwardEnd::Failed(outcome)),
             Event::Probed { host, server } => {
                 let load = self.servers.get(&server).filter(|s| s.up).map(Server::load);
                 let outcome = if load.is_some() { Outcome::Served } else { Outcome::Unreachable };
@@ -313,7 +313,7 @@
         let host = if draw < count { draw } else { (draw - count) % busy };
         let key = self.random.key();
         let new = NewFlow { class: 0, tenant: None, key: Some(key), time_left: CLIENT_TIMEOUT_MS };
-        self.hosts[host].take_in(self.now, new);
+        self.hosts[host].accept_request(self.now, new);
         self.execute_orders(host);
     }
 
@@ -352,7 +352,7 @@
     fn start_attempt(&mut self, host: usize, id: ForwardId, target: ServerId) {
         self.open_attempts.insert((host, id));
         if self.hosts[host].begin_write(self.now, id).is_none() {
-            return self.end_attempt(host, id, ForwardEnd::Lost(Outcome::NotSent));
+            return self.end_attempt(host, id, ForwardEnd::Failed(Outcome::NotSent));
         }
         let work = MEAN_WORK_MS * (0.5 + self.random.uniform());
         let (arrives, returns) = (self.now + NETWORK_DELAY_MS, self.now + 2.0 * NETWORK_DELAY_MS);
--- a/crates/roseproxy/tests/crossings.rs
+++ b/crates/roseproxy/tests/crossings.rs
@@ -9,7 +9,7 @@
 use roseproxy::signals::Asked;
 use roseproxy::{config::Config, Clock};
 use roseproxy_decision::interface::{Action, Event, Micros};
-use roseproxy_routing::decide::Decider;
+use roseproxy_routing::decider::Decider;
 use roseproxy_routing::Host;
 use roseproxy_transport::listener::Phase;
 use roseproxy_transport::network::Tcp;
@@ -475,7 +475,7 @@
 fn a_watch_requested_while_one_is_open_starts_no_other() {
     run_local(async {
         let ((socket, address), config) = (bind_port().await, config());
-        let host = Host::with(config.settings.clone(), Box::new(SubscribeOnRequest));
+        let host = Host::with_decider(config.settings.clone(), Box::new(SubscribeOnRequest));
         let sidecar = start_sidecar_with_host(Tcp, host, config, Clock::system(), &[], 8, 20).await;
         start_watch(&sidecar, address, Some(1));
         let _client = connect_and_send(sidecar.address, &request_text("quote", "1", "")).await;
@@ -572,7 +572,7 @@
 fn a_silent_watch_is_reopened_without_a_pause() {
     run_paused(async {
         let ((socket, address), config) = (bind_port().await, config());
-        let host = Host::with(config.settings.clone(), Box::new(SubscribeOnRequest));
+        let host = Host::with_decider(config.settings.clone(), Box::new(SubscribeOnRequest));
         let sidecar = start_sidecar_with_host(Tcp, host, config, Clock::system(), &[], 8, 20).await;
         start_watch(&sidecar, address, Some(1));
         let _client = connect_and_send(sidecar.address, &request_text("quote", "1", "")).await;
