--- a/crates/lab/src/in_process.rs
+++ b/crates/lab/src/in_process.rs
@@ -8,7 +8,7 @@
 use roseproxy_emulator::memory::{Memory, MemoryListener, MemoryStream, Waiting};
 use roseproxy_emulator::world::Signal;
 use roseproxy_routing::decide::Decider;
-use roseproxy_transport::network::{Network, Peek, Unread};
+use roseproxy_transport::network::{Network, Peek, PeekResult};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -29,8 +29,8 @@
 
 impl Network for MemoryNetwork {
     type Listener = MemoryListener;
-    type Accepted = MemoryStream;
-    type Opened = MemoryStream;
+    type AcceptedStream = MemoryStream;
+    type ConnectedStream = MemoryStream;
 
     async fn listen(&self, address: SocketAddr) -> io::Result<MemoryListener> {
         self.memory.bind(address).await
@@ -53,9 +53,9 @@
 fn peek(stream: &MemoryStream) -> Peek {
     let look = stream.peek();
     Rc::new(move || match look() {
-        Waiting::Nothing => Unread::Nothing,
-        Waiting::Bytes => Unread::Bytes,
-        Waiting::End => Unread::End,
+        Waiting::Nothing => PeekResult::Empty,
+        Waiting::Bytes => PeekResult::Data,
+        Waiting::End => PeekResult::Closed,
     })
 }
 
--- a/crates/lab/tests/discovery_return.rs
+++ b/crates/lab/tests/discovery_return.rs
@@ -9,7 +9,7 @@
 use roseproxy_routing::Host;
 use roseproxy_transport::budget::Budget;
 use roseproxy_transport::discovery::Watcher;
-use roseproxy_transport::network::{Network, Peek, Unread};
+use roseproxy_transport::network::{Network, Peek, PeekResult};
 use roseproxy_transport::Gateway;
 use serde_json::json;
 use std::cell::{Cell, RefCell};
@@ -344,8 +344,8 @@
 
 impl Network for Service {
     type Listener = ();
-    type Accepted = DuplexStream;
-    type Opened = DuplexStream;
+    type AcceptedStream = DuplexStream;
+    type ConnectedStream = DuplexStream;
 
     async fn listen(&self, _: SocketAddr) -> io::Result<()> {
         Ok(())
@@ -364,7 +364,7 @@
         }
         let (near, far) = duplex(64 << 10);
         spawn_local(self.clone().serve(far));
-        Ok((near, Rc::new(|| Unread::Nothing)))
+        Ok((near, Rc::new(|| PeekResult::Empty)))
     }
 }
 
@@ -390,7 +390,7 @@
     let host = Host::new(config.settings.clone(), config.seed, now());
     let classes = Classes::new(config.dialect, config.settings.classes);
     let gateway = Gateway::new(service.clone(), host, classes, Budget::new(20), Rc::new(now));
-    gateway.targets(Update::Complete, &[]);
+    gateway.apply_kept_list(Update::Complete, &[]);
     spawn_local(gateway.clone().run_timers());
     let (moves, address) = watch::channel(config.discovery);
     let watcher = Watcher::new(gateway.clone(), address, Some(1));
--- a/crates/roseproxy/src/shutdown.rs
+++ b/crates/roseproxy/src/shutdown.rs
@@ -42,14 +42,14 @@
     kill_after: f64,
 ) -> usize {
     let killed_at = clock.now() + kill_after;
-    listener.enter(Phase::Leaving);
+    listener.set_phase(Phase::NotReady);
     sleep(SERVE_ON).await;
-    listener.enter(Phase::Closing);
-    let drained = || gateway.open_flows() == 0 && listener.quiet_for(QUIET);
+    listener.set_phase(Phase::Closing);
+    let drained = || gateway.open_flows() == 0 && listener.is_idle_for(QUIET);
     until(clock, killed_at - FAIL_OPEN_BEFORE_KILL, drained).await;
     // What is open near SIGKILL would be lost with the process, and so would what comes only now, on a connection that has
     // waited for a place: from here on nothing is open for longer than it takes to answer it.
-    let failed = gateway.end();
+    let failed = gateway.shut_down();
     until(clock, killed_at - EXIT_BEFORE_KILL, drained).await;
     failed
 }
--- a/crates/roseproxy/src/start.rs
+++ b/crates/roseproxy/src/start.rs
@@ -48,20 +48,21 @@
         None => Host::new(config.settings.clone(), config.seed, clock.now()),
         Some(decider) => Host::with(config.settings.clone(), decider),
     };
-    let (clients, targets) = Budget::share(config.sockets);
+    let (clients, targets) = Budget::split(config.sockets);
     let gateway = Gateway::new(network, host, classes, targets, clock.reader());
     gateway.set_wall_clock(clock.wall_reader());
     gateway.log_to(say.clone(), print_events);
     // The list as it was known last serves until discovery says more. Without one, the empty list
     // still sets the module asking.
     let known = config.known.as_ref();
-    gateway.targets(roseproxy_decision::interface::Update::Complete, known.map_or(&[], |k| &k.targets));
+    gateway
+        .apply_kept_list(roseproxy_decision::interface::Update::Complete, known.map_or(&[], |k| &k.targets));
     // A list that was not read whole is no ground for hearing of changes only.
     let version = known.filter(|k| k.unread == 0).map(|k| k.revision);
     let (mut reload, discovery) = Reload::new(config);
     spawn_local(gateway.clone().run_timers());
     spawn_local(gateway.clone().run_sweeps());
-    spawn_local(Watcher::new(gateway.clone(), discovery, version).of_process_since(began).run());
+    spawn_local(Watcher::new(gateway.clone(), discovery, version).with_process_start(began).run());
     let (counted, reloads) = (gateway.clone(), reload.counts());
     let counts = Rc::new(move || counters::print(&[counted.counts(), reloads.lines().to_vec()].concat()));
     let listener = Listener::new(gateway.clone(), clients, counts.clone());
@@ -77,7 +78,7 @@
     let asked = clock.now();
     say(&format!("told to end, {} flows open", gateway.open_flows()));
     let unfinished = shutdown::drain(&clock, &listener, &gateway, kill_after).await;
-    gateway.exiting();
+    gateway.record_open_at_exit();
     say(&format!("ends after {:.0} ms, {unfinished} flows failed for want of time", clock.now() - asked));
     Ok(counts())
 }
--- a/crates/roseproxy/tests/common/faulty.rs
+++ b/crates/roseproxy/tests/common/faulty.rs
@@ -28,7 +28,7 @@
     pub calls_fail: Rc<Cell<Option<i32>>>,
 }
 
-type Accepted = <Tcp as Network>::Accepted;
+type Accepted = <Tcp as Network>::AcceptedStream;
 
 /// A stream of it.
 pub struct Failing<S> {
@@ -39,14 +39,14 @@
 
 impl Network for Faulty {
     type Listener = TcpListener;
-    type Accepted = Failing<<Tcp as Network>::Accepted>;
-    type Opened = Failing<<Tcp as Network>::Opened>;
+    type AcceptedStream = Failing<<Tcp as Network>::AcceptedStream>;
+    type ConnectedStream = Failing<<Tcp as Network>::ConnectedStream>;
 
     async fn listen(&self, address: SocketAddr) -> io::Result<TcpListener> {
         Tcp.listen(address).await
     }
 
-    async fn accept(&self, listener: &TcpListener) -> io::Result<(Self::Accepted, Peek)> {
+    async fn accept(&self, listener: &TcpListener) -> io::Result<(Self::AcceptedStream, Peek)> {
         // The system fails a call only once there is something to accept, which stays where it is.
         self.calls.set(self.calls.get() + 1);
         let one_in = self.accepts_one_in.get();
@@ -65,7 +65,7 @@
         Err(Error::from_raw_os_error(self.accepts.get().unwrap_or(0)))
     }
 
-    async fn connect(&self, address: SocketAddr) -> io::Result<(Self::Opened, Peek)> {
+    async fn connect(&self, address: SocketAddr) -> io::Result<(Self::ConnectedStream, Peek)> {
         if let Some(error) = self.connects.get() {
             return Err(Error::from_raw_os_error(error));
         }
--- a/crates/roseproxy/tests/common/gated.rs
+++ b/crates/roseproxy/tests/common/gated.rs
@@ -63,20 +63,20 @@
 
 impl Network for Gated {
     type Listener = TcpListener;
-    type Accepted = Held<<Tcp as Network>::Accepted>;
-    type Opened = Held<<Tcp as Network>::Opened>;
+    type AcceptedStream = Held<<Tcp as Network>::AcceptedStream>;
+    type ConnectedStream = Held<<Tcp as Network>::ConnectedStream>;
 
     async fn listen(&self, address: SocketAddr) -> io::Result<TcpListener> {
         Tcp.listen(address).await
     }
 
-    async fn accept(&self, listener: &TcpListener) -> io::Result<(Self::Accepted, Peek)> {
+    async fn accept(&self, listener: &TcpListener) -> io::Result<(Self::AcceptedStream, Peek)> {
         let (stream, peek) = Tcp.accept(listener).await?;
         let writes = self.next_answers.take().unwrap_or_else(|| self.answers.clone());
         Ok((Held { stream, reads: self.reads.clone(), writes }, peek))
     }
 
-    async fn connect(&self, address: SocketAddr) -> io::Result<(Self::Opened, Peek)> {
+    async fn connect(&self, address: SocketAddr) -> io::Result<(Self::ConnectedStream, Peek)> {
         self.connects.passed().await;
         let (stream, peek) = Tcp.connect(address).await?;
         Ok((Held { stream, reads: Rc::default(), writes: self.sends.clone() }, peek))
--- a/crates/roseproxy/tests/common/mod.rs
+++ b/crates/roseproxy/tests/common/mod.rs
@@ -17,7 +17,7 @@
 use roseproxy_transport::discovery::Watcher;
 use roseproxy_transport::listener::Listener;
 use roseproxy_transport::network::{Network, Tcp};
-use roseproxy_transport::pool::REST;
+use roseproxy_transport::pool::REUSE_DELAY_MS;
 use roseproxy_transport::Gateway;
 use serde_json::{json, Value};
 use std::cell::Cell;
@@ -139,7 +139,7 @@
     gateway.set_wall_clock(clock.wall_reader());
     let in_service: Vec<_> = endpoints.iter().map(|e| (*e, "in_service")).collect();
     let known = discovery::read(list(1, true, &in_service).as_bytes()).expect("a list");
-    gateway.targets(Update::Complete, &known.targets);
+    gateway.apply_kept_list(Update::Complete, &known.targets);
     spawn_local(gateway.clone().run_timers());
     gateway
 }
@@ -230,7 +230,7 @@
 /// Waits until so many connections to targets are kept, and lets them have their rest; the clock is one that stands.
 pub async fn rested<N: Network>(sidecar: &Sidecar<N>, clock: &Clock, kept: u64) {
     until("connections are kept", || of(&sidecar.gateway, "targets_idle") == kept).await;
-    clock.set(clock.now() + REST);
+    clock.set(clock.now() + REUSE_DELAY_MS);
 }
 
 /// Lets whatever is ready run.
--- a/crates/roseproxy/tests/common/registry.rs
+++ b/crates/roseproxy/tests/common/registry.rs
@@ -2,7 +2,7 @@
 //! Sidecars reach it over the loopback network, or over pipes in memory where there are hundreds of them.
 
 use super::{chunk, list, message, port};
-use roseproxy_transport::network::{Network, Peek, Tcp, Unread};
+use roseproxy_transport::network::{Network, Peek, PeekResult, Tcp};
 use std::cell::{Cell, RefCell};
 use std::future::pending;
 use std::io::{self, ErrorKind};
@@ -244,8 +244,8 @@
 
 impl Network for Loopback {
     type Listener = TcpListener;
-    type Accepted = <Tcp as Network>::Accepted;
-    type Opened = <Tcp as Network>::Opened;
+    type AcceptedStream = <Tcp as Network>::AcceptedStream;
+    type ConnectedStream = <Tcp as Network>::ConnectedStream;
 
     async fn listen(&self, address: SocketAddr) -> io::Result<TcpListener> {
         let listener = Tcp.listen(address).await?;
@@ -253,11 +253,11 @@
         Ok(listener)
     }
 
-    async fn accept(&self, listener: &TcpListener) -> io::Result<(Self::Accepted, Peek)> {
+    async fn accept(&self, listener: &TcpListener) -> io::Result<(Self::AcceptedStream, Peek)> {
         Tcp.accept(listener).await
     }
 
-    async fn connect(&self, address: SocketAddr) -> io::Result<(Self::Opened, Peek)> {
+    async fn connect(&self, address: SocketAddr) -> io::Result<(Self::ConnectedStream, Peek)> {
         if address == self.0.address {
             self.0.admit().await?;
         }
@@ -271,8 +271,8 @@
 
 impl Network for Piped {
     type Listener = ();
-    type Accepted = DuplexStream;
-    type Opened = DuplexStream;
+    type AcceptedStream = DuplexStream;
+    type ConnectedStream = DuplexStream;
 
     async fn listen(&self, _: SocketAddr) -> io::Result<()> {
         Ok(())
@@ -289,6 +289,6 @@
         self.0.admit().await?;
         let (near, far) = tokio::io::duplex(PIPE);
         spawn_local(self.0.clone().serve(far, drop));
-        Ok((near, Rc::new(|| Unread::Nothing)))
+        Ok((near, Rc::new(|| PeekResult::Empty)))
     }
 }
--- a/crates/roseproxy/tests/crossed_faults.rs
+++ b/crates/roseproxy/tests/crossed_faults.rs
@@ -37,7 +37,7 @@
     let mut news =
         discovery::read(list(2, false, &[(new_address, "in_service")]).as_bytes()).expect("a list");
     news.targets[0].started_at = Some(wall_clock());
-    sidecar.gateway.targets(Update::Changes, &news.targets);
+    sidecar.gateway.apply_kept_list(Update::Changes, &news.targets);
     tokio::time::sleep(wait).await;
     let mut client = TcpStream::connect(sidecar.address).await.expect("connects");
     for number in 0..REQUESTS {
--- a/crates/roseproxy/tests/crossings.rs
+++ b/crates/roseproxy/tests/crossings.rs
@@ -99,7 +99,8 @@
         drop(client);
         until("it is accepted", || of(&sidecar.gateway, "clients_accepted") == 1).await;
         network.reads.open();
-        until("it is missed", || sidecar.listener.quiet_for(0.0) && sidecar.gateway.open_flows() == 0).await;
+        until("it is missed", || sidecar.listener.is_idle_for(0.0) && sidecar.gateway.open_flows() == 0)
+            .await;
         network.connects.open();
         assert!(first_heard(&sidecar, socket, "place-order").await.contains("request-id: stays"));
     });
@@ -118,7 +119,7 @@
         until("the client is missed", || sidecar.gateway.open_flows() == 0).await;
         let group = list(2, true, &[(target, "in_service")]);
         let group = roseproxy_platform::discovery::read(group.as_bytes()).expect("a list");
-        sidecar.gateway.targets(group.update, &group.targets);
+        sidecar.gateway.apply_kept_list(group.update, &group.targets);
         assert!(first_heard(&sidecar, socket, "quote").await.contains("request-id: stays"));
     });
 }
@@ -165,10 +166,10 @@
             turns().await;
             network.reads.shut();
             client.write_all(request("place-order", "1", "a").as_bytes()).await.expect("written");
-            sidecar.listener.enter(Phase::Leaving);
-            sidecar.listener.enter(Phase::Closing);
+            sidecar.listener.set_phase(Phase::NotReady);
+            sidecar.listener.set_phase(Phase::Closing);
             tokio::time::sleep(Duration::from_millis(1_000)).await;
-            assert!(!sidecar.listener.quiet_for(0.0));
+            assert!(!sidecar.listener.is_idle_for(0.0));
             network.reads.open();
             let answer = message(&mut client).await.expect("a whole answer");
             assert!(answer.contains("connection: close") && answer.ends_with("priced"), "{asked}: {answer}");
@@ -234,7 +235,7 @@
         let sidecar = sidecar_on(network.clone(), config(), Clock::system(), &[target], 8, 20).await;
         let mut client = asks(sidecar.address, &request("place-order", "1", "a")).await;
         until("it is answered", || of(&sidecar.gateway, "flows_served") == 1).await;
-        sidecar.listener.enter(Phase::Closing);
+        sidecar.listener.set_phase(Phase::Closing);
         tokio::time::sleep(Duration::from_millis(1_000)).await;
         network.answers.open();
         let answer = message(&mut client).await.expect("a whole answer");
@@ -286,12 +287,12 @@
         let (mut stream, _) = socket.accept().await.expect("the sidecar connects");
         message(&mut stream).await.expect("a request");
         let mut waits = asks(sidecar.address, &request("quote", "2", "")).await;
-        sidecar.listener.enter(Phase::Closing);
+        sidecar.listener.set_phase(Phase::Closing);
         let done = Rc::new(Cell::new(false));
         let (seen, listener) = (done.clone(), sidecar.listener.clone());
         // In every turn of the loop, between any two tasks.
         let looks = spawn_local(std::future::poll_fn(move |cx| {
-            seen.set(seen.get() || listener.quiet_for(0.0));
+            seen.set(seen.get() || listener.is_idle_for(0.0));
             cx.waker().wake_by_ref();
             Poll::<()>::Pending
         }));
@@ -571,7 +572,7 @@
         let (near, mut far) = tokio::io::duplex(64);
         let mut connection = roseproxy_transport::connection::Connection::start(
             near,
-            Rc::new(|| roseproxy_transport::network::Unread::Nothing),
+            Rc::new(|| roseproxy_transport::network::PeekResult::Empty),
         )
         .await
         .expect("open");
@@ -580,7 +581,7 @@
         turns().await;
         far.write_all(OK.as_bytes()).await.expect("written");
         let end = exchange.await.expect("no panic");
-        let never = roseproxy_transport::connection::Exchange::Broke { last_byte_written: false };
+        let never = roseproxy_transport::connection::ExchangeResult::Broken { last_byte_written: false };
         assert_eq!(format!("{end:?}"), format!("{never:?}"));
     });
 }
--- a/crates/roseproxy/tests/departures.rs
+++ b/crates/roseproxy/tests/departures.rs
@@ -178,7 +178,7 @@
         tokio::time::sleep(SOON).await;
         let text = list(2, true, &[(endpoint.address, "in_service")]);
         let listing = discovery::read(text.as_bytes()).expect("a list");
-        sidecar.gateway.targets(Update::Complete, &listing.targets);
+        sidecar.gateway.apply_kept_list(Update::Complete, &listing.targets);
         tokio::time::sleep(LONG).await;
         assert_eq!(endpoint.heard("left"), expected(client, 0), "{client:?}");
         drop(stays);
--- a/crates/roseproxy/tests/descriptors.rs
+++ b/crates/roseproxy/tests/descriptors.rs
@@ -49,7 +49,7 @@
 
 impl Limited {
     fn descriptor(&self) -> io::Result<Permit> {
-        let permit = self.descriptors.permit();
+        let permit = self.descriptors.try_acquire();
         self.fewest.set(self.fewest.get().min(self.descriptors.limit() - self.descriptors.used()));
         permit.ok_or_else(|| io::Error::from_raw_os_error(TOO_MANY))
     }
@@ -57,14 +57,14 @@
 
 impl Network for Limited {
     type Listener = TcpListener;
-    type Accepted = Counted<<Loopback as Network>::Accepted>;
-    type Opened = Counted<<Loopback as Network>::Opened>;
+    type AcceptedStream = Counted<<Loopback as Network>::AcceptedStream>;
+    type ConnectedStream = Counted<<Loopback as Network>::ConnectedStream>;
 
     async fn listen(&self, address: SocketAddr) -> io::Result<TcpListener> {
         self.network.listen(address).await
     }
 
-    async fn accept(&self, listener: &TcpListener) -> io::Result<(Self::Accepted, Peek)> {
+    async fn accept(&self, listener: &TcpListener) -> io::Result<(Self::AcceptedStream, Peek)> {
         // As the system does: a connection that comes is accepted only where a descriptor is left.
         if self.descriptors.used() >= self.descriptors.limit() {
             self.descriptor()?;
@@ -73,7 +73,7 @@
         Ok((Counted { stream, _descriptor: self.descriptor()? }, peek))
     }
 
-    async fn connect(&self, address: SocketAddr) -> io::Result<(Self::Opened, Peek)> {
+    async fn connect(&self, address: SocketAddr) -> io::Result<(Self::ConnectedStream, Peek)> {
         let descriptor = self.descriptor()?;
         let (stream, peek) = self.network.connect(address).await?;
         Ok((Counted { stream, _descriptor: descriptor }, peek))
--- a/crates/roseproxy/tests/sockets.rs
+++ b/crates/roseproxy/tests/sockets.rs
@@ -7,7 +7,7 @@
 use roseproxy::{config::Config, reload::Reload, Clock};
 use roseproxy_platform::request::Outgoing;
 use roseproxy_transport::connect;
-use roseproxy_transport::connection::State;
+use roseproxy_transport::connection::ConnectionState;
 use roseproxy_transport::discovery::Watcher;
 use roseproxy_transport::listener::Phase;
 use roseproxy_transport::network::Tcp;
@@ -106,10 +106,10 @@
         });
         connection.exchange(Outgoing::get("/stats", "a")).await;
         let stream = served.await.expect("no panic").into_std().expect("a stream");
-        assert!(connection.settle().await && connection.state() == State::Idle);
+        assert!(connection.wait_until_idle().await && connection.state() == ConnectionState::Idle);
         // No turn of the loop lies between the write and the question.
         std::io::Write::write_all(&mut &stream, OK.as_bytes()).expect("written");
-        assert_eq!(connection.state(), State::Closed);
+        assert_eq!(connection.state(), ConnectionState::Closed);
     });
 }
 
@@ -258,11 +258,11 @@
         client.write_all(request("quote", "1", "").as_bytes()).await.expect("written");
         let (mut stream, _) = socket.accept().await.expect("the sidecar connects");
         message(&mut stream).await.expect("a request");
-        sidecar.listener.enter(Phase::Leaving);
+        sidecar.listener.set_phase(Phase::NotReady);
         assert!(ask(&mut idle, ready).await.starts_with("HTTP/1.1 503"), "no longer ready");
-        sidecar.listener.enter(Phase::Closing);
+        sidecar.listener.set_phase(Phase::Closing);
         assert!(message(&mut idle).await.is_none());
-        assert!(!sidecar.listener.quiet_for(0.0), "one answer is owed");
+        assert!(!sidecar.listener.is_idle_for(0.0), "one answer is owed");
         stream.write_all(OK.as_bytes()).await.expect("written");
         let answer = message(&mut client).await.expect("a whole answer");
         assert!(answer.ends_with("priced"), "{answer}");
--- a/crates/roseproxy/tests/stalled_peers.rs
+++ b/crates/roseproxy/tests/stalled_peers.rs
@@ -129,7 +129,7 @@
     timeless(async {
         let (network, sidecar, heard) = gated(2).await;
         network.answers.shut();
-        sidecar.listener.enter(Phase::Closing);
+        sidecar.listener.set_phase(Phase::Closing);
         let mut client = asks(sidecar.address, &request("place-order", "one", "b")).await;
         until("it is served", || heard.get() == 1).await;
         turns().await;
--- a/crates/transport/src/attempt.rs
+++ b/crates/transport/src/attempt.rs
@@ -1,11 +1,11 @@
 //! One attempt on the network: a connection, the writing of the request, its answer.
 
-use super::connection::Exchange;
+use super::connection::ExchangeResult;
+use super::duration_from_ms;
 use super::gateway::Gateway;
-use super::length;
-use super::meter::{Milestone, Writing};
-use super::network::{Network, Unread};
-use super::pool::Line;
+use super::network::{Network, PeekResult};
+use super::pool::PooledConnection;
+use super::write_progress::{WriteObserver, WriteStage};
 use roseproxy_decision::interface::{Load, Outcome, ServerId};
 use roseproxy_platform::request::Passing;
 use roseproxy_platform::{load, outcome};
@@ -18,8 +18,8 @@
 use tokio::sync::Notify;
 
 /// Share of an attempt's time that connecting may take, and the least that it gets (ms).
-const CONNECT_SHARE: f64 = 0.25;
-const CONNECT_LEAST: f64 = 50.0;
+const CONNECT_TIME_SHARE: f64 = 0.25;
+const MIN_CONNECT_TIMEOUT_MS: f64 = 50.0;
 
 impl<N: Network> Gateway<N> {
     /// Plays an attempt from its connection to its end.
@@ -28,17 +28,17 @@
         id: ForwardId,
         target: ServerId,
         address: SocketAddr,
-        until: f64,
-        wait: (Rc<Passing>, Rc<Notify>),
+        deadline: f64,
+        pending: (Rc<Passing>, Rc<Notify>),
     ) {
         // A target that does not come up must leave time for another.
-        let within = ((until - self.now()) * CONNECT_SHARE).max(CONNECT_LEAST);
-        let (end, load) = match self.line(target, address, within).await {
-            Ok(line) => self.exchange(id, target, until, &wait, line).await,
+        let connect_timeout_ms = ((deadline - self.now()) * CONNECT_TIME_SHARE).max(MIN_CONNECT_TIMEOUT_MS);
+        let (end, load) = match self.connection_to(target, address, connect_timeout_ms).await {
+            Ok(pooled) => self.exchange(id, target, deadline, &pending, pooled).await,
             Err(outcome) => (ForwardEnd::Lost(outcome), None),
         };
         self.timed(Activity::AttemptEnd, |host, now| host.forward_ended(now, id, end, load));
-        self.settle();
+        self.execute_orders();
         // Last, as it ends this very task.
         self.forwards.borrow_mut().remove(&id);
     }
@@ -47,100 +47,115 @@
         self: &Rc<Self>,
         id: ForwardId,
         target: ServerId,
-        until: f64,
-        (passing, ended): &(Rc<Passing>, Rc<Notify>),
-        mut line: Line,
+        deadline: f64,
+        (request, ended): &(Rc<Passing>, Rc<Notify>),
+        mut pooled: PooledConnection,
     ) -> (ForwardEnd, Option<Load>) {
         let now = self.now();
         let permit = self.host.borrow_mut().begin_write(now, id);
         let Some(permit) = permit else {
-            self.keep(target, line);
+            self.return_to_pool(target, pooled);
             return (ForwardEnd::Lost(Outcome::NotSent), None);
         };
         // Neither behind its time nor once nobody waits for it may a request be written on.
-        let too_late = async {
+        let write_deadline = async {
             tokio::select! {
                 biased;
                 () = ended.notified() => {}
-                () = at(permit.whole_by - now) => {}
+                () = sleep_ms_or_forever(permit.whole_by - now) => {}
             }
         };
-        let told = until - now;
-        let writing = Rc::new(AttemptWriting::new(self, id, permit, told));
-        match line.connection.exchange_unless(passing.to_target(told), too_late, writing.clone()).await {
-            Exchange::Answered(status, headers, body) => {
-                self.keep(target, line);
+        let announced_ms = deadline - now;
+        let observer = Rc::new(AttemptWriteObserver::new(self, id, permit, announced_ms));
+        match pooled
+            .connection
+            .exchange_guarded(request.to_target(announced_ms), write_deadline, observer.clone())
+            .await
+        {
+            ExchangeResult::Answered(status, headers, body) => {
+                self.return_to_pool(target, pooled);
                 (outcome::of_answer(status, &headers, body), load::of_headers(&headers))
             }
             // Broken off by this side: that tells nothing of the target.
-            Exchange::Broke { last_byte_written: false }
-                if writing.withheld.get() || !self.waiting.borrow().contains_key(&id.flow) =>
+            ExchangeResult::Broken { last_byte_written: false }
+                if observer.write_denied.get() || !self.pending_flows.borrow().contains_key(&id.flow) =>
             {
                 (ForwardEnd::Lost(Outcome::NotSent), None)
             }
-            Exchange::Broke { last_byte_written } => (outcome::of_break(last_byte_written), None),
+            ExchangeResult::Broken { last_byte_written } => (outcome::of_break(last_byte_written), None),
         }
     }
 
     /// Whether the client of a flow is still there, as its connection says: its departure may not have been heard of yet.
-    fn client_is_there(&self, id: FlowId) -> bool {
-        let client = self.waiting.borrow().get(&id).map(|waiting| waiting.client.clone());
-        client.is_some_and(|client| client() != Unread::End)
+    fn client_is_connected(&self, id: FlowId) -> bool {
+        let peek_client = self.pending_flows.borrow().get(&id).map(|pending| pending.peek_client.clone());
+        peek_client.is_some_and(|peek_client| peek_client() != PeekResult::Closed)
     }
 
     /// Whether an attempt may be written on at this instant; one whose client has left ends here.
-    fn may_write_on(self: &Rc<Self>, id: ForwardId, permit: WritePermit) -> bool {
-        let present = self.client_is_there(id.flow);
-        let allowed = self.host.borrow_mut().may_write_on(self.now(), id, permit, present);
-        if !present {
+    fn attempt_may_write(self: &Rc<Self>, id: ForwardId, permit: WritePermit) -> bool {
+        let client_connected = self.client_is_connected(id.flow);
+        let allowed = self.host.borrow_mut().may_write_on(self.now(), id, permit, client_connected);
+        if !client_connected {
             self.client_gone(id.flow);
         }
         allowed
     }
 
     /// Has the invariants checked at the instant at which an attempt goes out.
-    fn attempt_passed(&self, id: ForwardId, milestone: Milestone, told: f64) {
+    fn attempt_reached(&self, id: ForwardId, milestone: WriteStage, announced_ms: f64) {
         let (now, mut host) = (self.now(), self.host.borrow_mut());
         match milestone {
-            Milestone::Began => host.attempt_began(now, id),
-            Milestone::Whole => host.attempt_whole(now, id, told),
+            WriteStage::FirstByte => host.attempt_began(now, id),
+            WriteStage::LastByte => host.attempt_whole(now, id, announced_ms),
         }
     }
 }
 
 /// Answers for the writing of an attempt.
-struct AttemptWriting<N> {
+struct AttemptWriteObserver<N> {
     gateway: Rc<Gateway<N>>,
     id: ForwardId,
     permit: WritePermit,
     /// The time that its head tells the endpoint (ms).
-    told: f64,
+    announced_ms: f64,
     /// Whether it was broken off by this side.
-    withheld: Cell<bool>,
+    write_denied: Cell<bool>,
 }
 
-impl<N: Network> AttemptWriting<N> {
-    fn new(gateway: &Rc<Gateway<N>>, id: ForwardId, permit: WritePermit, told: f64) -> AttemptWriting<N> {
-        AttemptWriting { gateway: gateway.clone(), id, permit, told, withheld: Cell::new(false) }
+impl<N: Network> AttemptWriteObserver<N> {
+    fn new(
+        gateway: &Rc<Gateway<N>>,
+        id: ForwardId,
+        permit: WritePermit,
+        announced_ms: f64,
+    ) -> AttemptWriteObserver<N> {
+        AttemptWriteObserver {
+            gateway: gateway.clone(),
+            id,
+            permit,
+            announced_ms,
+            write_denied: Cell::new(false),
+        }
     }
 }
 
-impl<N: Network> Writing for AttemptWriting<N> {
-    fn may_go(&self) -> bool {
-        let allowed = !self.withheld.get() && self.gateway.may_write_on(self.id, self.permit);
-        self.withheld.set(!allowed);
+impl<N: Network> WriteObserver for AttemptWriteObserver<N> {
+    fn may_write(&self) -> bool {
+        let allowed = !self.write_denied.get() && self.gateway.attempt_may_write(self.id, self.permit);
+        self.write_denied.set(!allowed);
         allowed
     }
 
-    fn passed(&self, milestone: Milestone) {
-        self.gateway.attempt_passed(self.id, milestone, self.told);
+    fn on_stage(&self, milestone: WriteStage) {
+        self.gateway.attempt_reached(self.id, milestone, self.announced_ms);
     }
 }
 
 /// Waits so many milliseconds; for ever where they have no end.
-async fn at(millis: f64) {
+async fn sleep_ms_or_forever(millis: f64) {
     match millis.is_finite() {
-        true => tokio::time::sleep(length(millis)).await,
+        true => tokio::time::sleep(duration_from_ms(millis)).await,
         false => std::future::pending().await,
     }
 }
--- a/crates/transport/src/budget.rs
+++ b/crates/transport/src/budget.rs
@@ -5,7 +5,7 @@
 
 /// Descriptors kept for what is not counted: standard streams, the runtime's own, the listener,
 /// discovery, and those that a close has not freed yet.
-pub const RESERVE: usize = 32;
+pub const RESERVED_DESCRIPTORS: usize = 32;
 
 /// Descriptors of one side.
 #[derive(Clone, Debug)]
@@ -27,8 +27,8 @@
 impl Budget {
     /// Shares the sockets out: for clients and for targets. A flow needs one of each, and a repeat or
     /// a probe one more of the latter.
-    pub fn share(sockets: usize) -> (Budget, Budget) {
-        let free = sockets.saturating_sub(RESERVE).max(4);
+    pub fn split(sockets: usize) -> (Budget, Budget) {
+        let free = sockets.saturating_sub(RESERVED_DESCRIPTORS).max(4);
         // The platform's clients hold up to a third of all for their requests; some hold more for none.
         // Where the reserve is most of it, three sevenths of the rest would be less than that third, and
         // requests would wait unaccepted on connections that the machine has accepted.
@@ -42,7 +42,7 @@
     }
 
     /// A descriptor, where one is left.
-    pub fn permit(&self) -> Option<Permit> {
+    pub fn try_acquire(&self) -> Option<Permit> {
         (self.used.get() < self.limit).then(|| {
             self.used.set(self.used.get() + 1);
             Permit(self.used.clone())
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -1,10 +1,10 @@
 //! One connection to a target: hyper's client, with the bytes of each request counted.
 
-use super::meter::{Meter, Writing};
-use super::network::{Peek, Unread};
-use super::steady::Steady;
-use super::tap::Tapped;
-use super::Task;
+use super::network::{Peek, PeekResult};
+use super::retrying_stream::RetryingStream;
+use super::tap::TappedStream;
+use super::write_progress::{WriteObserver, WriteProgress};
+use super::AbortOnDrop;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Body, Incoming};
@@ -19,7 +19,7 @@
 
 /// Where a connection stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum ConnectionState {
     /// Open, with nothing on it: the next request may go out.
     Idle,
     /// A request is on it.
@@ -33,11 +33,11 @@
 
 /// How an exchange ended.
 #[derive(Debug)]
-pub enum Exchange {
+pub enum ExchangeResult {
     /// A whole answer came.
     Answered(StatusCode, HeaderMap, Bytes),
     /// The connection broke, or what came was no answer.
-    Broke {
+    Broken {
         /// Whether the request's last byte had been written.
         last_byte_written: bool,
     },
@@ -46,11 +46,11 @@
 /// A connection to a target. Dropping it closes it, whatever is on it.
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    meter: Meter,
+    write_progress: WriteProgress,
     /// The count at which the present request is written whole, while one is out.
-    whole_at: Option<u64>,
+    request_end: Option<u64>,
     peek: Peek,
-    _driver: Task,
+    _driver: AbortOnDrop,
 }
 
 impl std::fmt::Debug for Connection {
@@ -66,107 +66,108 @@
     where
         S: AsyncRead + AsyncWrite + Unpin + 'static,
     {
-        let meter = Meter::default();
-        let stream = Tapped::new(Steady::new(stream), meter.clone());
+        let write_progress = WriteProgress::default();
+        let stream = TappedStream::new(RetryingStream::new(stream), write_progress.clone());
         let (sender, driver) = handshake(TokioIo::new(stream)).await?;
         // What goes wrong on it shows in the exchange, or as a closed connection.
         let driver = tokio::task::spawn_local(async move { drop(driver.await) });
-        Ok(Connection { sender, meter, whole_at: None, peek, _driver: driver.into() })
+        Ok(Connection { sender, write_progress, request_end: None, peek, _driver: driver.into() })
     }
 
     /// Where it stands.
-    pub fn state(&self) -> State {
-        match self.whole_at {
-            Some(_) => State::Busy { last_byte_written: self.last_byte_written() },
+    pub fn state(&self) -> ConnectionState {
+        match self.request_end {
+            Some(_) => ConnectionState::Busy { last_byte_written: self.last_byte_written() },
             // A request written after the close is one that may have run; one written behind bytes that
             // nobody asked for would take them for its answer.
-            None if self.sender.is_closed() || (self.peek)() != Unread::Nothing => State::Closed,
-            None => State::Idle,
+            None if self.sender.is_closed() || (self.peek)() != PeekResult::Empty => ConnectionState::Closed,
+            None => ConnectionState::Idle,
         }
     }
 
     fn last_byte_written(&self) -> bool {
-        self.whole_at.is_some_and(|whole| self.meter.written() >= whole)
+        self.request_end.is_some_and(|request_end| self.write_progress.written() >= request_end)
     }
 
     /// Sends a request and reads its answer whole. It is sent once: a connection that turns out to be
     /// closed is an exchange that broke, with nothing sent again behind the caller's back.
-    pub async fn exchange(&mut self, outgoing: Outgoing) -> Exchange {
-        self.exchange_up_to(outgoing, BODY_LIMIT).await
+    pub async fn exchange(&mut self, outgoing: Outgoing) -> ExchangeResult {
+        self.exchange_with_limit(outgoing, BODY_LIMIT).await
     }
 
     /// The same for a request that must not be written on from some moment: where it is not whole then it is broken
     /// off, and never runs. `writing` is asked before each write, and told how far it went out.
-    pub(super) async fn exchange_unless(
+    pub(super) async fn exchange_guarded(
         &mut self,
         outgoing: Outgoing,
-        too_late: impl Future<Output = ()>,
-        writing: Rc<dyn Writing>,
-    ) -> Exchange {
-        let (written, whole_at) = (self.meter.clone(), self.meter.written() + outgoing.length);
-        self.meter.watch(outgoing.length, writing);
-        let broken_off = async {
-            too_late.await;
-            if written.written() >= whole_at {
+        write_deadline: impl Future<Output = ()>,
+        observer: Rc<dyn WriteObserver>,
+    ) -> ExchangeResult {
+        let (written, request_end) =
+            (self.write_progress.clone(), self.write_progress.written() + outgoing.length);
+        self.write_progress.track(outgoing.length, observer);
+        let aborted = async {
+            write_deadline.await;
+            if written.written() >= request_end {
                 pending().await
             }
         };
         tokio::select! {
             biased;
             end = self.exchange(outgoing) => end,
-            () = broken_off => Exchange::Broke { last_byte_written: false },
+            () = aborted => ExchangeResult::Broken { last_byte_written: false },
         }
     }
 
     /// The same, with the longest body that is read.
-    pub async fn exchange_up_to(&mut self, outgoing: Outgoing, limit: usize) -> Exchange {
+    pub async fn exchange_with_limit(&mut self, outgoing: Outgoing, limit: usize) -> ExchangeResult {
         match self.send(outgoing).await {
-            Ok(answer) => self.read(answer, limit).await,
-            Err(broke) => broke,
+            Ok(answer) => self.read_answer(answer, limit).await,
+            Err(broken) => broken,
         }
     }
 
     /// Sends a request and waits for the head of its answer, for answers that are streams.
-    pub async fn send(&mut self, outgoing: Outgoing) -> Result<Response<Incoming>, Exchange> {
+    pub async fn send(&mut self, outgoing: Outgoing) -> Result<Response<Incoming>, ExchangeResult> {
         // The driver may not have seen yet that the answer before was the last; without this, hyper
         // would refuse a request that it could send.
         if self.sender.ready().await.is_err() {
-            return Err(Exchange::Broke { last_byte_written: false });
+            return Err(ExchangeResult::Broken { last_byte_written: false });
         }
-        self.whole_at = Some(self.meter.written() + outgoing.length);
+        self.request_end = Some(self.write_progress.written() + outgoing.length);
         match self.sender.send_request(outgoing.request).await {
             // A target begins once the last byte has come: what it says sooner is no answer to this request, and
             // one that never comes whole never runs.
-            Ok(_) if !self.last_byte_written() => Err(self.broke()),
+            Ok(_) if !self.last_byte_written() => Err(self.broken()),
             Ok(answer) => Ok(answer),
-            Err(_) => Err(self.broke()),
+            Err(_) => Err(self.broken()),
         }
     }
 
-    async fn read(&mut self, answer: Response<Incoming>, limit: usize) -> Exchange {
+    async fn read_answer(&mut self, answer: Response<Incoming>, limit: usize) -> ExchangeResult {
         let (head, body) = answer.into_parts();
         // What is no answer to a request of ours: 101 hands the connection over to another protocol, and a
         // body said to be larger than the platform allows is not waited for.
-        let stated = body.size_hint().lower();
-        if head.status == StatusCode::SWITCHING_PROTOCOLS || stated > limit as u64 {
-            return self.broke();
+        let min_body_length = body.size_hint().lower();
+        if head.status == StatusCode::SWITCHING_PROTOCOLS || min_body_length > limit as u64 {
+            return self.broken();
         }
         // Against a body without end: no more is read than the platform allows.
         match Limited::new(body, limit).collect().await {
             Ok(body) => {
-                self.whole_at = None;
-                Exchange::Answered(head.status, head.headers, body.to_bytes())
+                self.request_end = None;
+                ExchangeResult::Answered(head.status, head.headers, body.to_bytes())
             }
-            Err(_) => self.broke(),
+            Err(_) => self.broken(),
         }
     }
 
-    fn broke(&mut self) -> Exchange {
-        Exchange::Broke { last_byte_written: self.last_byte_written() }
+    fn broken(&mut self) -> ExchangeResult {
+        ExchangeResult::Broken { last_byte_written: self.last_byte_written() }
     }
 
     /// Waits until the next request can go out; false where the connection has ended.
-    pub async fn settle(&mut self) -> bool {
-        self.whole_at.is_none() && self.sender.ready().await.is_ok()
+    pub async fn wait_until_idle(&mut self) -> bool {
+        self.request_end.is_none() && self.sender.ready().await.is_ok()
     }
 }
--- a/crates/transport/src/connecting.rs
+++ b/crates/transport/src/connector.rs
@@ -1,11 +1,11 @@
 //! Opening connections, and whose fault it is where that fails.
 
 use super::connection::Connection;
+use super::duration_from_ms;
 use super::errno::{
     EACCES, EADDRINUSE, EADDRNOTAVAIL, EAGAIN, EINTR, EMFILE, ENETDOWN, ENETUNREACH, ENFILE, ENOBUFS, ENOMEM,
     ENOSPC, EPERM,
 };
-use super::length;
 use super::network::Network;
 use std::io;
 use std::net::SocketAddr;
@@ -13,34 +13,35 @@
 use tokio::time::Instant;
 
 /// How long to wait before a connect is tried again that failed here (ms): at first, and at most.
-const RETRY: (f64, f64) = (5.0, 40.0);
+const FIRST_RETRY_DELAY_MS: f64 = 5.0;
+const MAX_RETRY_DELAY_MS: f64 = 40.0;
 
 /// Why no connection came up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectError {
     /// This machine could not make it; that tells nothing of the other side.
-    Here,
+    Local,
     /// The other side refused it, or did not come up in time.
-    There,
+    Remote,
 }
 
 /// What an error of a connect means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Meaning {
+enum ErrorOrigin {
     /// Descriptors, memory, watches or ports are out here, a rule of this machine forbids it, or a signal came.
-    Short,
+    Local,
     /// No way leads there, which may be so for a moment.
-    NoWay,
+    NoRoute,
     /// The other side's answer.
-    Answer,
+    Remote,
 }
 
-fn meaning(error: &io::Error) -> Meaning {
+fn classify(error: &io::Error) -> ErrorOrigin {
     match error.raw_os_error() {
-        Some(EINTR | EAGAIN | ENOMEM | ENFILE | EMFILE | ENOSPC | ENOBUFS) => Meaning::Short,
-        Some(EADDRINUSE | EADDRNOTAVAIL | EACCES | EPERM) => Meaning::Short,
-        Some(ENETDOWN | ENETUNREACH) => Meaning::NoWay,
-        _ => Meaning::Answer,
+        Some(EINTR | EAGAIN | ENOMEM | ENFILE | EMFILE | ENOSPC | ENOBUFS) => ErrorOrigin::Local,
+        Some(EADDRINUSE | EADDRNOTAVAIL | EACCES | EPERM) => ErrorOrigin::Local,
+        Some(ENETDOWN | ENETUNREACH) => ErrorOrigin::NoRoute,
+        _ => ErrorOrigin::Remote,
     }
 }
 
@@ -48,32 +49,32 @@
 pub async fn connect<N: Network>(
     network: &N,
     address: SocketAddr,
-    within: f64,
+    timeout_ms: f64,
 ) -> Result<Connection, ConnectError> {
-    let until = Instant::now() + length(within);
-    let mut pause = RETRY.0;
+    let deadline = Instant::now() + duration_from_ms(timeout_ms);
+    let mut retry_delay = FIRST_RETRY_DELAY_MS;
     loop {
-        let opened = tokio::time::timeout_at(until, open(network, address)).await;
+        let opened = tokio::time::timeout_at(deadline, open(network, address)).await;
         let error = match opened {
             Ok(Ok(connection)) => return Ok(connection),
             Ok(Err(error)) => error,
-            Err(_) => return Err(ConnectError::There),
+            Err(_) => return Err(ConnectError::Remote),
         };
-        let failed = match meaning(&error) {
-            Meaning::Answer => return Err(ConnectError::There),
-            Meaning::NoWay => ConnectError::There,
-            Meaning::Short => ConnectError::Here,
+        let failure = match classify(&error) {
+            ErrorOrigin::Remote => return Err(ConnectError::Remote),
+            ErrorOrigin::NoRoute => ConnectError::Remote,
+            ErrorOrigin::Local => ConnectError::Local,
         };
-        if left(until) <= length(pause) {
-            return Err(failed);
+        if time_left(deadline) <= duration_from_ms(retry_delay) {
+            return Err(failure);
         }
-        tokio::time::sleep(length(pause)).await;
-        pause = (pause * 2.0).min(RETRY.1);
+        tokio::time::sleep(duration_from_ms(retry_delay)).await;
+        retry_delay = (retry_delay * 2.0).min(MAX_RETRY_DELAY_MS);
     }
 }
 
-fn left(until: Instant) -> Duration {
-    until.saturating_duration_since(Instant::now())
+fn time_left(deadline: Instant) -> Duration {
+    deadline.saturating_duration_since(Instant::now())
 }
 
 async fn open<N: Network>(network: &N, address: SocketAddr) -> io::Result<Connection> {
--- a/crates/transport/src/discovery.rs
+++ b/crates/transport/src/discovery.rs
@@ -1,12 +1,12 @@
 //! The watch on discovery.
 
-use super::connecting::{connect, ConnectError};
 use super::connection::Connection;
+use super::connector::{connect, ConnectError};
+use super::counters::increment;
+use super::duration_from_ms;
 use super::gateway::Gateway;
-use super::length;
 use super::network::Network;
-use super::traffic::count;
-use crate::connection::Exchange;
+use crate::connection::ExchangeResult;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use hyper::StatusCode;
@@ -20,14 +20,14 @@
 use tokio::sync::watch;
 
 /// Time for a connection to come up, and for an answer to begin: calls wait in turn there (ms).
-const CONNECT: f64 = 1_000.0;
-const ANSWER: f64 = 3_000.0;
+const CONNECT_TIMEOUT_MS: f64 = 1_000.0;
+const ANSWER_TIMEOUT_MS: f64 = 3_000.0;
 /// A watch beats every 2 s; without a line, or with an object that does not end, for this long it is dead (ms).
-const SILENCE: f64 = 3_000.0;
+const WATCH_SILENCE_TIMEOUT_MS: f64 = 3_000.0;
 /// A watch that was open for so long may be opened anew without a pause where it told what cannot be read (ms).
-const WELL_FOR: f64 = 4_500.0;
+const MIN_HEALTHY_WATCH_MS: f64 = 4_500.0;
 /// Longest list that is read (bytes): three times that of the largest fleets, indented; against one without end.
-const LONGEST_LIST: usize = 4 << 20;
+const MAX_LIST_BYTES: usize = 4 << 20;
 
 /// Keeps up with the target group.
 pub struct Watcher<N> {
@@ -38,11 +38,11 @@
     /// for discovery, and when all sidecars start at once it answers few calls a second.
     revision: Option<u64>,
     /// The version of the list taken last, whoever it came from.
-    last: u64,
+    last_revision: u64,
     /// The version for which the whole list was asked for, as an entry could not be read.
-    asked_again: Option<u64>,
+    refetched_for: Option<u64>,
     /// When the process began (ms): what changed before may count as told from then on.
-    began: f64,
+    process_start: f64,
 }
 
 impl<N: Network> Watcher<N> {
@@ -50,32 +50,39 @@
     pub fn new(
         gateway: Rc<Gateway<N>>,
         address: watch::Receiver<SocketAddr>,
-        known: Option<u64>,
+        known_revision: Option<u64>,
     ) -> Watcher<N> {
-        let last = known.unwrap_or(0);
-        gateway.set_revision(last);
-        let began = gateway.now();
-        Watcher { gateway, address, revision: known, last, asked_again: None, began }
+        let last_revision = known_revision.unwrap_or(0);
+        gateway.set_revision(last_revision);
+        let process_start = gateway.now();
+        Watcher {
+            gateway,
+            address,
+            revision: known_revision,
+            last_revision,
+            refetched_for: None,
+            process_start,
+        }
     }
 
     /// The same for a process that began earlier, at this time (ms).
-    pub fn of_process_since(self, began: f64) -> Watcher<N> {
-        Watcher { began, ..self }
+    pub fn with_process_start(self, process_start: f64) -> Watcher<N> {
+        Watcher { process_start, ..self }
     }
 
     /// Watches whenever routing wants it, and tells it of failures; routing's timers, which the
     /// module sets with jitter and ever longer, say when to try again. A new address is no failure
     /// and is asked at once. Runs as long as the program.
     pub async fn run(mut self) {
-        let (revision, endpoints) = (self.last, self.gateway.endpoints());
+        let (revision, endpoints) = (self.last_revision, self.gateway.endpoints());
         self.gateway.discovery_event(DiscoveryEvent::KeptList { revision, endpoints });
-        self.gateway.follow_discovery(self.began);
+        self.gateway.follow_discovery(self.process_start);
         loop {
-            let mut moves = self.address.clone();
+            let mut address_changes = self.address.clone();
             tokio::select! {
                 biased;
-                () = self.gateway.watch_wanted() => {}
-                () = moved(&mut moves) => {
+                () = self.gateway.watch_requested() => {}
+                () = address_changed(&mut address_changes) => {
                     self.gateway.discovery_moved(false);
                     self.revision = None;
                 }
@@ -83,8 +90,8 @@
             let end = self.watch_until_failure().await;
             // A wish from before this failure was met by the watch that has just ended: what it left behind would
             // start the next one at once, beside the pauses that keep all sidecars from calling together.
-            self.gateway.forget_watch_wish();
-            self.gateway.targets_failed(end);
+            self.gateway.clear_watch_request();
+            self.gateway.discovery_failed(end);
         }
     }
 
@@ -92,26 +99,26 @@
     async fn watch_until_failure(&mut self) -> CallEnd {
         loop {
             let address = *self.address.borrow_and_update();
-            let mut moves = self.address.clone();
+            let mut address_changes = self.address.clone();
             let began = self.gateway.now();
             tokio::select! {
                 biased;
                 // It only ever ends by failing. One that was open and fell silent is broken, and what it misses
                 // counts as told 6 s after that: it is opened anew at once. The beats of sidecars differ, which
                 // spreads their calls; one that finds no answer is a failure like others, with their pauses.
-                end = self.watch(address, began) => {
+                end = self.run_watch(address, began) => {
                     let after = self.gateway.now() - began;
                     self.gateway.discovery_event(DiscoveryEvent::CallEnded(end, after));
                     // What could not be read is told again from the revision in hand; once is cheap for discovery.
-                    let spoilt_once = end == CallEnd::Unreadable && after >= WELL_FOR && self.revision.is_some();
-                    if end != CallEnd::WatchSilent && !spoilt_once {
+                    let isolated_decode_error = end == CallEnd::Unreadable && after >= MIN_HEALTHY_WATCH_MS && self.revision.is_some();
+                    if end != CallEnd::WatchSilent && !isolated_decode_error {
                         return end;
                     }
-                    self.gateway.forget_watch_wish();
+                    self.gateway.clear_watch_request();
                     self.gateway.watch_reopened(end);
                 }
                 // Another discovery may count its versions otherwise: the whole list is asked for.
-                () = moved(&mut moves) => {
+                () = address_changed(&mut address_changes) => {
                     let after = self.gateway.now() - began;
                     self.gateway.discovery_event(DiscoveryEvent::CallEnded(CallEnd::Moved, after));
                     self.gateway.discovery_moved(true);
@@ -122,9 +129,9 @@
     }
 
     /// Follows the list until that fails; the call began at this time.
-    async fn watch(&mut self, address: SocketAddr, began: f64) -> CallEnd {
+    async fn run_watch(&mut self, address: SocketAddr, began: f64) -> CallEnd {
         match self.open_watch(address, began).await {
-            Ok((_connection, body)) => self.follow(body).await,
+            Ok((_connection, body)) => self.read_watch(body).await,
             Err(end) => end,
         }
     }
@@ -137,17 +144,17 @@
     ) -> Result<(Connection, Incoming), CallEnd> {
         let host = address.to_string();
         self.gateway.call_started(self.revision);
-        let connection = connect(self.gateway.network(), address, CONNECT).await;
+        let connection = connect(self.gateway.network(), address, CONNECT_TIMEOUT_MS).await;
         let mut connection = connection.map_err(|error| match error {
-            ConnectError::Here => CallEnd::NotMade,
-            ConnectError::There => CallEnd::Unreachable,
+            ConnectError::Local => CallEnd::NotMade,
+            ConnectError::Remote => CallEnd::Unreachable,
         })?;
-        let known = match self.revision {
+        let known_revision = match self.revision {
             Some(revision) => revision,
             None => self.fetch_list(&mut connection, &host).await?,
         };
-        let answer = connection.send(Outgoing::get(&discovery::watch_path(known), &host));
-        let answer = tokio::time::timeout(length(ANSWER), answer).await;
+        let answer = connection.send(Outgoing::get(&discovery::watch_path(known_revision), &host));
+        let answer = tokio::time::timeout(duration_from_ms(ANSWER_TIMEOUT_MS), answer).await;
         let answer = answer.map_err(|_| CallEnd::NoAnswer)?.map_err(|_| CallEnd::Broken)?;
         if answer.status() != StatusCode::OK {
             if answer.status().is_client_error() {
@@ -162,50 +169,50 @@
 
     /// Asks for the whole list, and returns its revision.
     async fn fetch_list(&mut self, connection: &mut Connection, host: &str) -> Result<u64, CallEnd> {
-        let fetch = connection.exchange_up_to(Outgoing::get(discovery::LIST, host), LONGEST_LIST);
-        let answer = tokio::time::timeout(length(ANSWER), fetch).await;
+        let fetch = connection.exchange_with_limit(Outgoing::get(discovery::LIST, host), MAX_LIST_BYTES);
+        let answer = tokio::time::timeout(duration_from_ms(ANSWER_TIMEOUT_MS), fetch).await;
         match answer.map_err(|_| CallEnd::NoAnswer)? {
-            Exchange::Answered(StatusCode::OK, _, body) => self.take(&body)?,
-            Exchange::Answered(..) => return Err(CallEnd::TurnedAway),
-            Exchange::Broke { .. } => return Err(CallEnd::Broken),
+            ExchangeResult::Answered(StatusCode::OK, _, body) => self.apply(&body)?,
+            ExchangeResult::Answered(..) => return Err(CallEnd::TurnedAway),
+            ExchangeResult::Broken { .. } => return Err(CallEnd::Broken),
         }
         self.revision.ok_or(CallEnd::Unreadable)
     }
 
     /// Takes over what an open watch tells, until it ends.
-    async fn follow(&mut self, mut body: Incoming) -> CallEnd {
+    async fn read_watch(&mut self, mut body: Incoming) -> CallEnd {
         let mut decoder = WatchDecoder::default();
         // Half a line, or an object whose end does not come, is no sign of life.
-        let mut alive = self.gateway.now();
+        let mut last_message_at = self.gateway.now();
         loop {
-            let left = alive + SILENCE - self.gateway.now();
-            let Ok(frame) = tokio::time::timeout(length(left), body.frame()).await else {
+            let left = last_message_at + WATCH_SILENCE_TIMEOUT_MS - self.gateway.now();
+            let Ok(frame) = tokio::time::timeout(duration_from_ms(left), body.frame()).await else {
                 return CallEnd::WatchSilent;
             };
             let Some(Ok(frame)) = frame else { return CallEnd::WatchEnded };
             let Ok(data) = frame.into_data() else { continue };
             // The version to go on from, where something is missing behind it.
-            let mut complete_up_to: Option<Option<u64>> = None;
+            let mut resume_from: Option<Option<u64>> = None;
             decoder.take(&data, |frame| {
                 match frame {
                     WatchFrame::Partial => return,
                     WatchFrame::Heartbeat => self.gateway.list_confirmed(),
                     WatchFrame::Object(text) => {
-                        if self.take(&text).is_err() {
-                            let before = complete_up_to.unwrap_or(self.revision);
-                            complete_up_to = Some(self.revision.and(before));
+                        if self.apply(&text).is_err() {
+                            let before = resume_from.unwrap_or(self.revision);
+                            resume_from = Some(self.revision.and(before));
                         }
                     }
                 }
-                alive = self.gateway.now();
+                last_message_at = self.gateway.now();
             });
             // What came behind it holds, but its version would hide that something is missing.
-            if let Some(revision) = complete_up_to {
+            if let Some(revision) = resume_from {
                 self.revision = revision;
                 return CallEnd::Unreadable;
             }
-            if decoder.held() > LONGEST_LIST {
-                count(&self.gateway.traffic.bad_lists);
+            if decoder.held() > MAX_LIST_BYTES {
+                increment(&self.gateway.counters.lists_unread);
                 return CallEnd::Unreadable;
             }
         }
@@ -213,29 +220,29 @@
 
     /// Takes over a list. What cannot be read is counted, and has to be asked for again: the list in hand stays, but it is
     /// known to lack something.
-    fn take(&mut self, text: &[u8]) -> Result<(), CallEnd> {
-        let traffic = &self.gateway.traffic;
+    fn apply(&mut self, text: &[u8]) -> Result<(), CallEnd> {
+        let counters = &self.gateway.counters;
         let began = self.gateway.now();
         let listing = discovery::read(text);
         self.gateway.note_held_up(Activity::ReadingList, began);
         match listing {
             Ok(Listing { revision, update, targets, unread }) => {
-                traffic.bad_lists.set(traffic.bad_lists.get() + unread as u64);
+                counters.lists_unread.set(counters.lists_unread.get() + unread as u64);
                 // One that is behind the list in hand may be older than the word of a drain. It may also come from a
                 // discovery that counts anew, so that it is taken for all the rest.
-                let behind = revision < self.last;
-                (self.revision, self.last) = (Some(revision), revision);
+                let behind = revision < self.last_revision;
+                (self.revision, self.last_revision) = (Some(revision), revision);
                 let (complete, entries) = (update == Update::Complete, targets.len());
                 let taken = DiscoveryEvent::ListTaken { revision, complete, entries, unread, behind };
                 self.gateway.discovery_event(taken);
                 self.gateway.set_revision(revision);
                 // Before what waits for a list is sent by it.
                 self.gateway.list_confirmed();
-                self.gateway.listed(update, targets, behind);
-                self.check_unread(unread)
+                self.gateway.apply_discovery_list(update, targets, behind);
+                self.check_unreadable_entries(unread)
             }
             Err(reason) => {
-                count(&traffic.bad_lists);
+                increment(&counters.lists_unread);
                 self.gateway.record(EventKind::BadList(reason.into()));
                 Err(CallEnd::Unreadable)
             }
@@ -244,17 +251,17 @@
 
     /// Where entries could not be read, the whole list is asked for: once for each version, as they may not be readable in
     /// that either.
-    fn check_unread(&mut self, unread: usize) -> Result<(), CallEnd> {
-        if unread == 0 || self.asked_again == Some(self.last) {
+    fn check_unreadable_entries(&mut self, unread: usize) -> Result<(), CallEnd> {
+        if unread == 0 || self.refetched_for == Some(self.last_revision) {
             return Ok(());
         }
-        (self.asked_again, self.revision) = (Some(self.last), None);
+        (self.refetched_for, self.revision) = (Some(self.last_revision), None);
         Err(CallEnd::Unreadable)
     }
 }
 
 /// Waits for another address; for ever where none can come any more.
-async fn moved(address: &mut watch::Receiver<SocketAddr>) {
+async fn address_changed(address: &mut watch::Receiver<SocketAddr>) {
     if address.changed().await.is_err() {
         std::future::pending().await
     }
--- a/crates/transport/src/gateway.rs
+++ b/crates/transport/src/gateway.rs
@@ -1,12 +1,12 @@
 //! The joint between routing and the sockets.
 
 use super::budget::Budget;
-use super::connecting::{connect, ConnectError};
-use super::connection::Exchange;
+use super::connection::ExchangeResult;
+use super::connector::{connect, ConnectError};
+use super::counters::{increment, Counters};
 use super::network::{Network, Peek};
-use super::pool::{Line, Pool};
-use super::traffic::{count, Traffic};
-use super::{length, Task};
+use super::pool::{Pool, PooledConnection};
+use super::{duration_from_ms, AbortOnDrop};
 use hyper::header::HeaderValue;
 use hyper::StatusCode;
 use roseproxy_decision::interface::{Outcome, ServerId, Update};
@@ -26,12 +26,12 @@
 use tokio::sync::{oneshot, Notify};
 
 /// How often idle connections are looked through (ms).
-const SWEEP: f64 = 250.0;
+const IDLE_SWEEP_PERIOD_MS: f64 = 250.0;
 
-pub(super) struct Waiting {
-    pub(super) passing: Rc<Passing>,
+pub(super) struct PendingFlow {
+    pub(super) request: Rc<Passing>,
     /// Looks at the client's connection.
-    pub(super) client: Peek,
+    pub(super) peek_client: Peek,
     answer: oneshot::Sender<Answer>,
     /// Tells its forwards that nobody waits any more.
     ended: Rc<Notify>,
@@ -45,53 +45,53 @@
     /// How requests name their classes.
     pub classes: Classes,
     /// What the sockets count.
-    pub traffic: Traffic,
+    pub counters: Counters,
     pool: RefCell<Pool>,
-    targets: Budget,
+    target_budget: Budget,
     connect_timeout: f64,
-    pub(super) waiting: RefCell<HashMap<FlowId, Waiting>>,
+    pub(super) pending_flows: RefCell<HashMap<FlowId, PendingFlow>>,
     /// The clients' ids of the flows that wait.
-    ids: RefCell<HashSet<HeaderValue>>,
-    pub(super) forwards: RefCell<HashMap<ForwardId, Task>>,
-    probes: RefCell<HashMap<ServerId, Task>>,
+    open_request_ids: RefCell<HashSet<HeaderValue>>,
+    pub(super) forwards: RefCell<HashMap<ForwardId, AbortOnDrop>>,
+    probes: RefCell<HashMap<ServerId, AbortOnDrop>>,
     /// When the timer task will wake, and how to wake it sooner.
-    armed: Cell<f64>,
-    rearm: Notify,
+    timer_wakes_at: Cell<f64>,
+    timer_changed: Notify,
     /// Whether routing wants discovery watched and no watch has begun since, and who waits to hear it.
-    watch_wish: Cell<bool>,
-    watch: Notify,
+    watch_pending: Cell<bool>,
+    watch_notify: Notify,
     /// Revision of the list in hand; 0 before any.
     revision: Cell<u64>,
     /// When endpoints started, on the program's clock.
-    starts: RefCell<StartTimes>,
+    start_times: RefCell<StartTimes>,
     /// The wall clock; where there is none, the program's clock stands for it.
-    wall: RefCell<Option<Now>>,
+    wall_clock: RefCell<Option<Now>>,
 }
 
 impl<N: Network> Gateway<N> {
     /// Joins a host with the network.
     pub fn new(network: N, host: Host, classes: Classes, targets: Budget, now: Now) -> Rc<Gateway<N>> {
-        let figures = host.settings().network;
+        let network_settings = host.settings().network;
         Rc::new(Gateway {
             network,
             host: RefCell::new(host),
             now,
             classes,
-            traffic: Traffic::default(),
-            pool: RefCell::new(Pool::new(to_millis(figures.conn_idle))),
-            targets,
-            connect_timeout: to_millis(figures.connect_timeout),
-            waiting: RefCell::default(),
-            ids: RefCell::default(),
+            counters: Counters::default(),
+            pool: RefCell::new(Pool::new(to_millis(network_settings.conn_idle))),
+            target_budget: targets,
+            connect_timeout: to_millis(network_settings.connect_timeout),
+            pending_flows: RefCell::default(),
+            open_request_ids: RefCell::default(),
             forwards: RefCell::default(),
             probes: RefCell::default(),
-            armed: Cell::new(f64::INFINITY),
-            rearm: Notify::new(),
-            watch_wish: Cell::new(false),
-            watch: Notify::new(),
+            timer_wakes_at: Cell::new(f64::INFINITY),
+            timer_changed: Notify::new(),
+            watch_pending: Cell::new(false),
+            watch_notify: Notify::new(),
             revision: Cell::new(0),
-            starts: RefCell::default(),
-            wall: RefCell::default(),
+            start_times: RefCell::default(),
+            wall_clock: RefCell::default(),
         })
     }
 
@@ -112,67 +112,72 @@
 
     /// Takes in a flow, with what looks at its client's connection; its answer comes on the channel. `None` where a request with its id is open: that
     /// one belongs to another client, and a target would take this one for a repeat of it.
-    pub fn take_in(
+    pub fn start_flow(
         self: &Rc<Self>,
         new: NewFlow,
-        passing: Passing,
-        client: Peek,
+        request: Passing,
+        peek_client: Peek,
     ) -> Option<(FlowId, oneshot::Receiver<Answer>)> {
-        if !self.ids.borrow_mut().insert(passing.id.clone()) {
+        if !self.open_request_ids.borrow_mut().insert(request.id.clone()) {
             return None;
         }
         let (answer, receiver) = oneshot::channel();
         let id = self.timed(Activity::Request, |host, now| host.take_in(now, new));
-        let client_id = shortened(passing.id.as_bytes());
+        let client_id = shortened(request.id.as_bytes());
         let taken = EventKind::Taken { client_id, class: new.class, time_left: new.time_left };
         self.host.borrow_mut().events.record(self.now(), Some(id), taken);
-        let waiting = Waiting { passing: Rc::new(passing), client, answer, ended: Rc::default() };
-        self.waiting.borrow_mut().insert(id, waiting);
-        self.settle();
+        let pending = PendingFlow { request: Rc::new(request), peek_client, answer, ended: Rc::default() };
+        self.pending_flows.borrow_mut().insert(id, pending);
+        self.execute_orders();
         Some((id, receiver))
     }
 
     /// Ends the wait for a flow's answer, and lets go of its id.
-    fn end_wait(&self, id: FlowId) -> Option<Waiting> {
-        let waiting = self.waiting.borrow_mut().remove(&id)?;
-        self.ids.borrow_mut().remove(&waiting.passing.id);
-        waiting.ended.notify_waiters();
-        Some(waiting)
+    fn remove_pending(&self, id: FlowId) -> Option<PendingFlow> {
+        let pending = self.pending_flows.borrow_mut().remove(&id)?;
+        self.open_request_ids.borrow_mut().remove(&pending.request.id);
+        pending.ended.notify_waiters();
+        Some(pending)
     }
 
     /// The client of a flow has left. Of one that has its answer this changes nothing.
     pub fn client_gone(self: &Rc<Self>, id: FlowId) {
-        if self.end_wait(id).is_some() {
+        if self.remove_pending(id).is_some() {
             self.timed(Activity::Departure, |host, now| host.client_gone(now, id));
-            self.settle();
+            self.execute_orders();
         }
     }
 
     /// Has starts in wall-clock time held against this clock, too.
     pub fn set_wall_clock(&self, wall: Now) {
-        *self.wall.borrow_mut() = Some(wall);
+        *self.wall_clock.borrow_mut() = Some(wall);
     }
 
     /// A list of the target group that was kept from before.
-    pub fn targets(self: &Rc<Self>, update: Update, targets: &[Target]) {
-        self.take_list(Source::Kept, update, targets.to_vec(), false);
+    pub fn apply_kept_list(self: &Rc<Self>, update: Update, targets: &[Target]) {
+        self.apply_list(Source::Kept, update, targets.to_vec(), false);
     }
 
     /// A list that discovery has told. In one that is behind the list in hand, who leaves is not taken back into
     /// service by it.
-    pub(super) fn listed(self: &Rc<Self>, update: Update, targets: Vec<Target>, behind: bool) {
-        self.take_list(Source::Discovery, update, targets, behind);
+    pub(super) fn apply_discovery_list(
+        self: &Rc<Self>,
+        update: Update,
+        targets: Vec<Target>,
+        outdated: bool,
+    ) {
+        self.apply_list(Source::Discovery, update, targets, outdated);
     }
 
-    fn take_list(self: &Rc<Self>, source: Source, update: Update, mut targets: Vec<Target>, behind: bool) {
+    fn apply_list(self: &Rc<Self>, source: Source, update: Update, mut targets: Vec<Target>, outdated: bool) {
         let program = self.now();
-        let wall = self.wall.borrow().as_ref().map_or(program, |wall| wall());
-        self.starts.borrow_mut().place(Clocks { program, wall }, source, update, &mut targets);
-        if behind {
+        let wall = self.wall_clock.borrow().as_ref().map_or(program, |wall| wall());
+        self.start_times.borrow_mut().place(Clocks { program, wall }, source, update, &mut targets);
+        if outdated {
             self.host.borrow().keep_leaving(&mut targets);
         }
         self.timed(Activity::List, |host, now| host.targets(now, update, &targets));
-        self.settle();
+        self.execute_orders();
     }
 
     /// Records the revision of the list in hand, for the counters.
@@ -181,9 +186,9 @@
     }
 
     /// A call to discovery failed, or the watch broke.
-    pub fn targets_failed(self: &Rc<Self>, end: CallEnd) {
+    pub fn discovery_failed(self: &Rc<Self>, end: CallEnd) {
         self.host.borrow_mut().targets_failed(self.now(), end);
-        self.settle();
+        self.execute_orders();
     }
 
     /// Records what happened between this sidecar and discovery.
@@ -194,43 +199,43 @@
     /// From now on discovery is followed; the list in hand is one that was kept from before the start, at this time (ms).
     pub(super) fn follow_discovery(self: &Rc<Self>, began: f64) {
         self.host.borrow_mut().follow_discovery(self.now(), began);
-        self.settle();
+        self.execute_orders();
     }
 
     /// A call to discovery goes out.
     pub(super) fn call_started(self: &Rc<Self>, revision: Option<u64>) {
         self.host.borrow_mut().call_started(self.now(), revision);
-        self.settle();
+        self.execute_orders();
     }
 
     /// Discovery has told of a change, or that there is none.
     pub(super) fn list_confirmed(self: &Rc<Self>) {
         self.host.borrow_mut().list_confirmed(self.now());
-        self.settle();
+        self.execute_orders();
     }
 
     /// Discovery was moved; `calling` is whether a call or a watch was open.
     pub(super) fn discovery_moved(self: &Rc<Self>, calling: bool) {
         self.host.borrow_mut().discovery_moved(self.now(), calling);
-        self.settle();
+        self.execute_orders();
     }
 
     /// The watch ended so, and is opened anew without a pause.
     pub(super) fn watch_reopened(self: &Rc<Self>, end: CallEnd) {
         self.host.borrow_mut().watch_reopened(self.now(), end);
-        self.settle();
+        self.execute_orders();
     }
 
     /// Waits until routing wants to watch discovery.
-    pub async fn watch_wanted(&self) {
-        while !self.watch_wish.take() {
-            self.watch.notified().await;
+    pub async fn watch_requested(&self) {
+        while !self.watch_pending.take() {
+            self.watch_notify.notified().await;
         }
     }
 
     /// Forgets a wish to watch that has not been met.
-    pub(super) fn forget_watch_wish(&self) {
-        self.watch_wish.set(false);
+    pub(super) fn clear_watch_request(&self) {
+        self.watch_pending.set(false);
     }
 
     /// Has warnings printed as they happen, or each event.
@@ -250,7 +255,7 @@
 
     /// A client's connection ends; `open` is the request on it that has no answer.
     pub(super) fn client_closed(&self, reason: CloseReason, open: Option<FlowId>) {
-        self.traffic.closed(reason);
+        self.counters.count_close(reason);
         let mut host = self.host.borrow_mut();
         host.events.record(self.now(), open, EventKind::Closed(reason));
         let by_client = matches!(reason, CloseReason::Client | CloseReason::Departed);
@@ -260,7 +265,7 @@
     }
 
     /// The process ends now: what is still open is lost.
-    pub fn exiting(&self) {
+    pub fn record_open_at_exit(&self) {
         let mut host = self.host.borrow_mut();
         for request in host.open_ids() {
             host.violated(self.now(), Some(request), Violation::OpenAtExit);
@@ -274,10 +279,10 @@
 
     /// The process is about to end: answers all flows that are open as failed, and whatever comes from here on.
     /// Returns how many were open.
-    pub fn end(self: &Rc<Self>) -> usize {
+    pub fn shut_down(self: &Rc<Self>) -> usize {
         let open = self.open_flows();
         self.host.borrow_mut().end(self.now());
-        self.settle();
+        self.execute_orders();
         open
     }
 
@@ -295,12 +300,12 @@
     pub fn counts(&self) -> Vec<(String, u64)> {
         let mut lines = self.host.borrow().book.lines();
         lines.extend(self.host.borrow().picture());
-        lines.extend(self.traffic.lines());
+        lines.extend(self.counters.named_counts());
         let now = [
             ("discovery_revision", self.revision.get()),
             ("discovery_list_age_ms", self.host.borrow().list_age(self.now()) as u64),
             ("targets_idle", self.pool.borrow().len() as u64),
-            ("targets_open", self.targets.used() as u64),
+            ("targets_open", self.target_budget.used() as u64),
         ];
         lines.extend(now.map(|(name, count)| (name.to_owned(), count)));
         lines
@@ -310,27 +315,27 @@
     pub async fn run_timers(self: Rc<Self>) {
         loop {
             let due = self.host.borrow().next_due();
-            self.armed.set(due.unwrap_or(f64::INFINITY));
+            self.timer_wakes_at.set(due.unwrap_or(f64::INFINITY));
             match due {
                 Some(due) => tokio::select! {
                     // In this order, so that equal runs go equal ways.
                     biased;
-                    () = tokio::time::sleep(length(due - self.now())) => {}
-                    () = self.rearm.notified() => {}
+                    () = tokio::time::sleep(duration_from_ms(due - self.now())) => {}
+                    () = self.timer_changed.notified() => {}
                 },
-                None => self.rearm.notified().await,
+                None => self.timer_changed.notified().await,
             }
             self.note_late_timers(due);
             self.timed(Activity::Timers, |host, now| host.tick(now));
-            self.settle();
+            self.execute_orders();
         }
     }
 
     /// Closes connections that stood idle for long; runs as long as the program.
     pub async fn run_sweeps(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(length(SWEEP)).await;
-            self.pool.borrow_mut().sweep(self.now());
+            tokio::time::sleep(duration_from_ms(IDLE_SWEEP_PERIOD_MS)).await;
+            self.pool.borrow_mut().close_expired(self.now());
         }
     }
 
@@ -357,60 +362,64 @@
     }
 
     /// Carries out what routing has ordered, in order.
-    pub(super) fn settle(self: &Rc<Self>) {
+    pub(super) fn execute_orders(self: &Rc<Self>) {
         loop {
             let order = self.host.borrow_mut().next_order();
             match order {
-                Some(order) => self.carry_out(order),
+                Some(order) => self.execute_order(order),
                 None => break,
             }
         }
-        if self.host.borrow().next_due().is_some_and(|due| due < self.armed.get()) {
-            self.rearm.notify_one();
+        if self.host.borrow().next_due().is_some_and(|due| due < self.timer_wakes_at.get()) {
+            self.timer_changed.notify_one();
         }
     }
 
-    fn carry_out(self: &Rc<Self>, order: Order) {
+    fn execute_order(self: &Rc<Self>, order: Order) {
         match order {
             Order::Forward { id, target, address, patience } => {
-                let wait = self.waiting.borrow().get(&id.flow).map(|w| (w.passing.clone(), w.ended.clone()));
+                let pending = self
+                    .pending_flows
+                    .borrow()
+                    .get(&id.flow)
+                    .map(|flow| (flow.request.clone(), flow.ended.clone()));
                 // Routing sends only for flows that it holds open, and those wait here.
-                let Some(wait) = wait else { return };
-                let until = self.now() + patience;
-                let task = self.clone().forward(id, target, address, until, wait);
+                let Some(pending) = pending else { return };
+                let deadline = self.now() + patience;
+                let task = self.clone().forward(id, target, address, deadline, pending);
                 self.forwards.borrow_mut().insert(id, tokio::task::spawn_local(task).into());
             }
             Order::GiveUp(id) => drop(self.forwards.borrow_mut().remove(&id)),
             Order::Answer(id, answer) => {
                 // A client that has left in this very moment hears nothing; that is no loss.
-                self.end_wait(id).map(|w| w.answer.send(answer));
+                self.remove_pending(id).map(|flow| flow.answer.send(answer));
             }
             Order::Probe(target, address) => {
                 let task = self.clone().probe(target, address);
                 self.probes.borrow_mut().insert(target, tokio::task::spawn_local(task).into());
             }
             Order::GiveUpProbe(target) => drop(self.probes.borrow_mut().remove(&target)),
-            Order::CloseIdle(target) => self.pool.borrow_mut().close(target),
+            Order::CloseIdle(target) => self.pool.borrow_mut().close_target(target),
             Order::Watch => {
-                self.watch_wish.set(true);
-                self.watch.notify_one();
+                self.watch_pending.set(true);
+                self.watch_notify.notify_one();
             }
         }
     }
 
     async fn probe(self: Rc<Self>, target: ServerId, address: SocketAddr) {
-        let end = match self.line(target, address, self.connect_timeout).await {
+        let end = match self.connection_to(target, address, self.connect_timeout).await {
             Err(outcome) => ProbeEnd { outcome, load: None },
-            Ok(mut line) => match line.connection.exchange(Outgoing::get("/stats", "origin.svc")).await {
-                Exchange::Answered(status, _, body) => {
-                    self.keep(target, line);
+            Ok(mut pooled) => match pooled.connection.exchange(Outgoing::get("/stats", "origin.svc")).await {
+                ExchangeResult::Answered(status, _, body) => {
+                    self.return_to_pool(target, pooled);
                     self.read_probe(status, &body)
                 }
-                Exchange::Broke { .. } => ProbeEnd { outcome: Outcome::Broken, load: None },
+                ExchangeResult::Broken { .. } => ProbeEnd { outcome: Outcome::Broken, load: None },
             },
         };
         self.timed(Activity::ProbeEnd, |host, now| host.probe_ended(now, target, end));
-        self.settle();
+        self.execute_orders();
         self.probes.borrow_mut().remove(&target);
     }
 
@@ -420,46 +429,49 @@
         }
         let load = std::str::from_utf8(body).ok().and_then(load::read);
         if load.is_none() {
-            count(&self.traffic.bad_reports);
+            increment(&self.counters.reports_unread);
         }
         ProbeEnd { outcome: Outcome::Served, load }
     }
 
     /// A connection to a target: a kept one, or a new one where the budget has room. Without one it says
     /// what that tells: an own shortage of descriptors tells nothing of the target.
-    pub(super) async fn line(
+    pub(super) async fn connection_to(
         &self,
         target: ServerId,
         address: SocketAddr,
-        within: f64,
-    ) -> Result<Line, Outcome> {
-        if let Some(line) = self.pool.borrow_mut().take(self.now(), target, address) {
-            count(&self.traffic.reused);
-            return Ok(line);
+        timeout_ms: f64,
+    ) -> Result<PooledConnection, Outcome> {
+        if let Some(pooled) = self.pool.borrow_mut().take(self.now(), target, address) {
+            increment(&self.counters.targets_reused);
+            return Ok(pooled);
         }
-        let permit = self.targets.permit().or_else(|| {
-            self.pool.borrow_mut().evict();
-            self.targets.permit()
+        let permit = self.target_budget.try_acquire().or_else(|| {
+            self.pool.borrow_mut().evict_oldest();
+            self.target_budget.try_acquire()
         });
         let Some(permit) = permit else {
-            count(&self.traffic.spent);
+            increment(&self.counters.descriptors_spent);
             return Err(Outcome::NotSent);
         };
-        let (counter, line) = match connect(&self.network, address, within.min(self.connect_timeout)).await {
-            Ok(connection) => (&self.traffic.opened, Ok(Line { connection, address, permit })),
-            Err(ConnectError::There) => (&self.traffic.unreachable, Err(Outcome::Unreachable)),
-            Err(ConnectError::Here) => (&self.traffic.connects_failed_here, Err(Outcome::NotSent)),
-        };
-        count(counter);
-        line
+        let (counter, pooled) =
+            match connect(&self.network, address, timeout_ms.min(self.connect_timeout)).await {
+                Ok(connection) => {
+                    (&self.counters.targets_connected, Ok(PooledConnection { connection, address, permit }))
+                }
+                Err(ConnectError::Remote) => (&self.counters.targets_unreachable, Err(Outcome::Unreachable)),
+                Err(ConnectError::Local) => (&self.counters.connects_failed_here, Err(Outcome::NotSent)),
+            };
+        increment(counter);
+        pooled
     }
 
     /// Puts a connection back once it is ready for the next request.
-    pub(super) fn keep(self: &Rc<Self>, target: ServerId, mut line: Line) {
+    pub(super) fn return_to_pool(self: &Rc<Self>, target: ServerId, mut pooled: PooledConnection) {
         let gateway = self.clone();
         tokio::task::spawn_local(async move {
-            if line.connection.settle().await {
-                gateway.pool.borrow_mut().put(gateway.now(), target, line);
+            if pooled.connection.wait_until_idle().await {
+                gateway.pool.borrow_mut().put(gateway.now(), target, pooled);
             }
         });
     }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -6,48 +6,48 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod accepting;
+mod acceptor;
 mod attempt;
 pub mod budget;
-mod client;
-pub mod connecting;
+mod client_stream;
 pub mod connection;
+pub mod connector;
+mod counters;
 pub mod discovery;
 pub mod errno;
+mod event_loop_lag;
 mod gateway;
-mod head;
-mod lateness;
 pub mod listener;
-mod meter;
 pub mod network;
 pub mod pool;
-mod steady;
+mod request_framing;
+mod retrying_stream;
 mod tap;
-mod traffic;
+mod write_progress;
 
-pub use connecting::connect;
+pub use connector::connect;
+pub use counters::Counters;
 pub use gateway::Gateway;
-pub use traffic::Traffic;
 
 use tokio::task::{AbortHandle, JoinHandle};
 
 /// A task that ends, and lets go of its connection, when nobody holds it any more.
 #[derive(Debug)]
-pub(crate) struct Task(AbortHandle);
+pub(crate) struct AbortOnDrop(AbortHandle);
 
-impl<T> From<JoinHandle<T>> for Task {
-    fn from(handle: JoinHandle<T>) -> Task {
-        Task(handle.abort_handle())
+impl<T> From<JoinHandle<T>> for AbortOnDrop {
+    fn from(handle: JoinHandle<T>) -> AbortOnDrop {
+        AbortOnDrop(handle.abort_handle())
     }
 }
 
-impl Drop for Task {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
 /// Program milliseconds as a length of time for the runtime; never negative, never endless.
-pub(crate) fn length(millis: f64) -> std::time::Duration {
+pub(crate) fn duration_from_ms(millis: f64) -> std::time::Duration {
     std::time::Duration::from_secs_f64(millis.clamp(0.0, 86_400_000.0) / 1000.0)
 }
--- a/crates/transport/src/tap.rs
+++ b/crates/transport/src/tap.rs
@@ -9,31 +9,31 @@
 /// Who looks.
 pub(super) trait Tap: Unpin {
     /// These bytes came in, one at least.
-    fn came(&mut self, _bytes: &[u8]) {}
+    fn on_read(&mut self, _bytes: &[u8]) {}
 
     /// Whether anything may be written now; the stream breaks else.
-    fn may_go(&mut self) -> bool {
+    fn may_write(&mut self) -> bool {
         true
     }
 
     /// So many bytes were taken.
-    fn went(&mut self, _count: usize) {}
+    fn on_written(&mut self, _count: usize) {}
 }
 
 /// A stream with who looks at it.
 #[derive(Debug)]
-pub(super) struct Tapped<S, T> {
+pub(super) struct TappedStream<S, T> {
     stream: S,
     tap: T,
 }
 
-impl<S, T> Tapped<S, T> {
-    pub fn new(stream: S, tap: T) -> Tapped<S, T> {
-        Tapped { stream, tap }
+impl<S, T> TappedStream<S, T> {
+    pub fn new(stream: S, tap: T) -> TappedStream<S, T> {
+        TappedStream { stream, tap }
     }
 }
 
-impl<S: AsyncRead + Unpin, T: Tap> AsyncRead for Tapped<S, T> {
+impl<S: AsyncRead + Unpin, T: Tap> AsyncRead for TappedStream<S, T> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -43,19 +43,19 @@
         ready!(Pin::new(&mut self.stream).poll_read(cx, buf))?;
         let new = &buf.filled()[before..];
         if !new.is_empty() {
-            self.tap.came(new);
+            self.tap.on_read(new);
         }
         Poll::Ready(Ok(()))
     }
 }
 
-impl<S: AsyncWrite + Unpin, T: Tap> AsyncWrite for Tapped<S, T> {
+impl<S: AsyncWrite + Unpin, T: Tap> AsyncWrite for TappedStream<S, T> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        if !self.tap.may_go() {
+        if !self.tap.may_write() {
             return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
         }
         let written = ready!(Pin::new(&mut self.stream).poll_write(cx, buf))?;
-        self.tap.went(written);
+        self.tap.on_written(written);
         Poll::Ready(Ok(written))
     }
 
@@ -64,11 +64,11 @@
         cx: &mut Context<'_>,
         bufs: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        if !self.tap.may_go() {
+        if !self.tap.may_write() {
             return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
         }
         let written = ready!(Pin::new(&mut self.stream).poll_write_vectored(cx, bufs))?;
-        self.tap.went(written);
+        self.tap.on_written(written);
         Poll::Ready(Ok(written))
     }
 
--- a/crates/transport/src/meter.rs
+++ b/crates/transport/src/write_progress.rs
@@ -12,82 +12,82 @@
 
 /// How far a request has gone out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Milestone {
+pub(super) enum WriteStage {
     /// Its first byte.
-    Began,
+    FirstByte,
     /// Its last byte.
-    Whole,
+    LastByte,
 }
 
 /// Who answers for the writing of a request.
-pub(super) trait Writing {
+pub(super) trait WriteObserver {
     /// Asked right before each write, until the request is whole: whether it may go on. What was checked before may not hold
     /// any more, as the connection's own task writes, maybe after a pause.
-    fn may_go(&self) -> bool;
+    fn may_write(&self) -> bool;
 
     /// A milestone was passed.
-    fn passed(&self, milestone: Milestone);
+    fn on_stage(&self, milestone: WriteStage);
 }
 
 /// The request that is going out, by the counts at which it passes its milestones.
-struct Watched {
-    before: u64,
-    whole: u64,
-    began: bool,
-    writing: Rc<dyn Writing>,
+struct TrackedRequest {
+    start: u64,
+    end: u64,
+    first_byte_written: bool,
+    observer: Rc<dyn WriteObserver>,
 }
 
 /// Bytes that a connection has written; shared with whoever asks.
 #[derive(Clone, Default)]
-pub(super) struct Meter(Rc<Counts>);
+pub(super) struct WriteProgress(Rc<State>);
 
 #[derive(Default)]
-struct Counts {
+struct State {
     written: Cell<u64>,
-    watched: RefCell<Option<Watched>>,
+    tracked: RefCell<Option<TrackedRequest>>,
 }
 
-impl Meter {
+impl WriteProgress {
     pub fn written(&self) -> u64 {
         self.0.written.get()
     }
 
     /// Has `writing` answer for the next request, which takes so many bytes.
-    pub fn watch(&self, length: u64, writing: Rc<dyn Writing>) {
-        let before = self.written();
-        let watched = Watched { before, whole: before + length, began: false, writing };
-        *self.0.watched.borrow_mut() = Some(watched);
+    pub fn track(&self, length: u64, observer: Rc<dyn WriteObserver>) {
+        let start = self.written();
+        let tracked = TrackedRequest { start, end: start + length, first_byte_written: false, observer };
+        *self.0.tracked.borrow_mut() = Some(tracked);
     }
 }
 
 /// What the socket takes counts; what hyper has buffered does not, and what it says of an error is not asked.
-impl Tap for Meter {
-    fn may_go(&mut self) -> bool {
+impl Tap for WriteProgress {
+    fn may_write(&mut self) -> bool {
         // Let go of first: who is asked may end the attempt.
-        let writing = self.0.watched.borrow().as_ref().map(|watched| watched.writing.clone());
-        writing.is_none_or(|writing| writing.may_go())
+        let observer = self.0.tracked.borrow().as_ref().map(|tracked| tracked.observer.clone());
+        observer.is_none_or(|observer| observer.may_write())
     }
 
-    fn went(&mut self, count: usize) {
+    fn on_written(&mut self, count: usize) {
         self.0.written.set(self.written() + count as u64);
-        let mut slot = self.0.watched.borrow_mut();
-        let Some(watched) = slot.as_mut() else { return };
-        if !watched.began && self.written() > watched.before {
-            watched.began = true;
-            watched.writing.passed(Milestone::Began);
+        let mut tracked_slot = self.0.tracked.borrow_mut();
+        let Some(tracked) = tracked_slot.as_mut() else { return };
+        if !tracked.first_byte_written && self.written() > tracked.start {
+            tracked.first_byte_written = true;
+            tracked.observer.on_stage(WriteStage::FirstByte);
         }
-        if self.written() >= watched.whole {
-            watched.writing.passed(Milestone::Whole);
-            *slot = None;
+        if self.written() >= tracked.end {
+            tracked.observer.on_stage(WriteStage::LastByte);
+            *tracked_slot = None;
         }
     }
 }
 
 /// A stream that can be asked while another holds it.
 #[derive(Debug)]
-pub struct Shared(pub(super) Rc<TcpStream>);
+pub struct SharedTcpStream(pub(super) Rc<TcpStream>);
 
-impl AsyncRead for Shared {
+impl AsyncRead for SharedTcpStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         loop {
             ready!(self.0.poll_read_ready(cx))?;
@@ -104,8 +104,8 @@
     }
 }
 
-impl Shared {
-    fn poll_with(
+impl SharedTcpStream {
+    fn poll_write_call(
         &self,
         cx: &mut Context<'_>,
         write: impl Fn(&TcpStream) -> io::Result<usize>,
@@ -114,15 +114,15 @@
             ready!(self.0.poll_write_ready(cx))?;
             match write(&self.0) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                done => return Poll::Ready(done),
+                result => return Poll::Ready(result),
             }
         }
     }
 }
 
-impl AsyncWrite for Shared {
+impl AsyncWrite for SharedTcpStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        self.poll_with(cx, |stream| stream.try_write(buf))
+        self.poll_write_call(cx, |stream| stream.try_write(buf))
     }
 
     fn poll_write_vectored(
@@ -130,7 +130,7 @@
         cx: &mut Context<'_>,
         bufs: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.poll_with(cx, |stream| stream.try_write_vectored(bufs))
+        self.poll_write_call(cx, |stream| stream.try_write_vectored(bufs))
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -142,8 +142,8 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let done = SockRef::from(&*self.0).shutdown(std::net::Shutdown::Write);
+        let result = SockRef::from(&*self.0).shutdown(std::net::Shutdown::Write);
         // One that the other side has closed already needs none.
-        Poll::Ready(done.or_else(|e| if e.kind() == io::ErrorKind::NotConnected { Ok(()) } else { Err(e) }))
+        Poll::Ready(result.or_else(|e| if e.kind() == io::ErrorKind::NotConnected { Ok(()) } else { Err(e) }))
     }
 }
--- a/crates/transport/tests/budget.rs
+++ b/crates/transport/tests/budget.rs
@@ -1,14 +1,14 @@
 //! How the descriptors are shared out.
 
-use roseproxy_transport::budget::{Budget, RESERVE};
+use roseproxy_transport::budget::{Budget, RESERVED_DESCRIPTORS};
 
 #[test]
 fn clients_get_the_third_that_the_platform_lets_them_hold() {
     for sockets in [64, 96, 128, 256, 1024, 4096] {
-        let (clients, targets) = Budget::share(sockets);
+        let (clients, targets) = Budget::split(sockets);
         assert!(clients.limit() > sockets / 3, "{sockets}: {}", clients.limit());
         assert!(targets.limit() >= 8, "{sockets}: {}", targets.limit());
-        assert!(clients.limit() + targets.limit() + RESERVE <= sockets);
+        assert!(clients.limit() + targets.limit() + RESERVED_DESCRIPTORS <= sockets);
     }
-    assert_eq!(Budget::share(256).0.limit(), 96);
+    assert_eq!(Budget::split(256).0.limit(), 96);
 }
--- a/crates/transport/tests/connection.rs
+++ b/crates/transport/tests/connection.rs
@@ -5,8 +5,8 @@
 use hyper::Method;
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
 use roseproxy_platform::request::Passing;
-use roseproxy_transport::connection::{Connection, Exchange, State};
-use roseproxy_transport::network::Unread;
+use roseproxy_transport::connection::{Connection, ConnectionState, ExchangeResult};
+use roseproxy_transport::network::PeekResult;
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream};
 use tokio::task::{spawn_local, yield_now, JoinHandle};
@@ -73,7 +73,7 @@
 struct Real {
     /// Away while a request is on it.
     connection: Option<Connection>,
-    running: Option<JoinHandle<(Connection, Exchange)>>,
+    running: Option<JoinHandle<(Connection, ExchangeResult)>>,
     peer: Option<DuplexStream>,
 }
 
@@ -86,7 +86,7 @@
 impl Real {
     async fn new() -> Real {
         let (near, far) = tokio::io::duplex(PIPE as usize);
-        let connection = Connection::start(near, Rc::new(|| Unread::Nothing)).await.expect("a fresh pipe");
+        let connection = Connection::start(near, Rc::new(|| PeekResult::Empty)).await.expect("a fresh pipe");
         Real { connection: Some(connection), running: None, peer: Some(far) }
     }
 
@@ -117,7 +117,7 @@
     }
 
     /// The exchange's end, where it has ended; the connection is back then.
-    async fn ended(&mut self) -> Option<Exchange> {
+    async fn ended(&mut self) -> Option<ExchangeResult> {
         if !self.running.as_ref()?.is_finished() {
             return None;
         }
@@ -162,7 +162,7 @@
             real.write(OK.as_bytes()).await;
             quiet().await;
             match real.ended().await {
-                Some(Exchange::Broke { last_byte_written: false }) => {
+                Some(ExchangeResult::Broken { last_byte_written: false }) => {
                     real.connection = None;
                     Ok(Model::Closed)
                 }
@@ -184,7 +184,9 @@
             quiet().await;
             match real.ended().await {
                 // What came behind it is neither served nor waited for.
-                Some(Exchange::Answered(status, _, body)) if status == 200 && *body == *b"ok" => Ok(after),
+                Some(ExchangeResult::Answered(status, _, body)) if status == 200 && *body == *b"ok" => {
+                    Ok(after)
+                }
                 other => wrong(&format!("no answer but {other:?}")),
             }
         }
@@ -192,7 +194,7 @@
             real.write(SPOILT[usize::from(*n) % SPOILT.len()].as_bytes()).await;
             quiet().await;
             match real.ended().await {
-                Some(Exchange::Broke { last_byte_written: true }) => {
+                Some(ExchangeResult::Broken { last_byte_written: true }) => {
                     real.connection = None;
                     Ok(Model::Closed)
                 }
@@ -214,7 +216,9 @@
             real.peer = None;
             quiet().await;
             match real.ended().await {
-                Some(Exchange::Broke { last_byte_written }) if last_byte_written == whole(length, read) => {
+                Some(ExchangeResult::Broken { last_byte_written })
+                    if last_byte_written == whole(length, read) =>
+                {
                     // Whatever was on it, it is never used again.
                     real.connection = None;
                     Ok(Model::Closed)
@@ -236,9 +240,9 @@
             quiet().await;
             let state = real.connection.as_ref().map(Connection::state);
             let same = match model {
-                Model::Idle => state == Some(State::Idle),
+                Model::Idle => state == Some(ConnectionState::Idle),
                 Model::Busy { .. } => state.is_none(),
-                Model::Closed => state.is_none_or(|s| s == State::Closed),
+                Model::Closed => state.is_none_or(|s| s == ConnectionState::Closed),
             };
             if !same {
                 return Err(format!("{state:?} where the model is {model:?}, after {s:?}"));
--- a/crates/transport/tests/discovery.rs
+++ b/crates/transport/tests/discovery.rs
@@ -59,7 +59,7 @@
         assert_eq!(revision(&gateway), Some(0), "no list yet");
         let (_keep, moves) = watch::channel(address);
         spawn_local(Watcher::new(gateway.clone(), moves, None).run());
-        gateway.targets(Update::Complete, &[]);
+        gateway.apply_kept_list(Update::Complete, &[]);
         let (mut stream, _) = socket.accept().await.expect("a caller");
         answer(&mut stream, 41).await;
         shows(&gateway, 41).await;
