--- a/crates/transport/src/acceptor.rs
+++ b/crates/transport/src/acceptor.rs
@@ -1,4 +1,5 @@
-//! Accepting: what is known of how long a connection has waited for it, and which errors want a pause.
+//! Accepts client connections, bounds how long each may have waited in the accept queue, and pauses
+//! after repeated errors.
 
 use super::network::{Network, Peek};
 use std::cell::Cell;
@@ -6,34 +7,36 @@
 use std::io;
 use std::pin::pin;
 
-/// Errors in a row after which accepting rests: against a busy loop. Fewer say nothing of the next call: they are of one connection
-/// alone, or what is short is there again in a moment, and all clients that have connected wait meanwhile.
+/// Consecutive accept errors before accepting pauses, which prevents a busy loop. Fewer errors say
+/// nothing about the next call: they concern a single connection, or a shortage that is over in a
+/// moment, and every connected client waits during a pause.
 const ERRORS_BEFORE_PAUSE: u32 = 64;
-/// Errors in a row, half a second of them, after which what is short is short for longer.
+/// Consecutive accept errors, about half a second of them, after which the shortage is taken to be
+/// a longer one.
 const ERRORS_BEFORE_LONG_PAUSE: u32 = 250;
-/// How long accepting rests after an error (ms): while something may be short for a moment, and for longer.
+/// Pause after an accept error while the shortage may be momentary.
 const SHORT_PAUSE_MS: f64 = 2.0;
+/// Pause after an accept error once the shortage has lasted longer.
 const LONG_PAUSE_MS: f64 = 20.0;
 
-/// A connection that was accepted.
+/// A client connection that was accepted.
 pub(super) struct AcceptedClient<S> {
-    /// The client's stream.
     pub stream: S,
-    /// Looks at what waits to be read on it.
+    /// Inspects the unread input of the stream.
     pub peek: Peek,
-    /// The earliest moment at which the client may have connected (ms): all that came before had been accepted then.
-    /// What it sent may have waited since.
+    /// The earliest time at which the client may have connected (ms): every earlier connection had
+    /// been accepted by then. Bytes that the client sent may have waited unread since this time.
     pub earliest_connect_at: f64,
 }
 
-/// Accepts connections, and keeps in mind when none was left to be accepted.
+/// Accepts connections and records when the accept queue was last empty.
 #[derive(Debug)]
 pub(super) struct Acceptor {
-    /// Whether all that clients have connected is accepted, and the next one is awaited.
+    /// Whether every connection has been accepted and the next one is being waited for.
     waiting: Cell<bool>,
-    /// When a connection, or an error in its place, last came to an acceptor that was waiting for it (ms).
+    /// When a connection, or an accept error, last arrived while the acceptor was waiting for it
+    /// (ms).
     queue_last_empty_at: Cell<f64>,
-    /// Errors in a row.
     consecutive_errors: Cell<u32>,
 }
 
@@ -46,12 +49,11 @@
         }
     }
 
-    /// Whether the next connection is awaited with none left.
+    /// Whether the accept queue is empty and the next connection is being waited for.
     pub fn is_waiting(&self) -> bool {
         self.waiting.get()
     }
 
-    /// Waits for the next connection.
     pub async fn accept<N: Network>(
         &self,
         network: &N,
@@ -63,7 +65,7 @@
             let polled = accept.as_mut().poll(cx);
             self.waiting.set(polled.is_pending());
             if polled.is_pending() {
-                // What comes from here on is met at once.
+                // From now on a connection is accepted as soon as it arrives.
                 self.queue_last_empty_at.set(f64::INFINITY);
             }
             polled
@@ -78,7 +80,7 @@
         })
     }
 
-    /// How long to rest after the last error (ms).
+    /// How long to pause after the last error (ms).
     pub fn pause_ms(&self) -> f64 {
         match self.consecutive_errors.get() {
             0..ERRORS_BEFORE_PAUSE => 0.0,
--- a/crates/transport/src/attempt.rs
+++ b/crates/transport/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt on the network: a connection, the writing of the request, its answer.
+//! Runs one attempt on the network: obtains a connection, writes the request and reads the answer.
 
 use super::connection::ExchangeResult;
 use super::duration_from_ms;
@@ -17,12 +17,13 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Share of an attempt's time that connecting may take, and the least that it gets (ms).
+/// Share of an attempt's time that connecting may take.
 const CONNECT_TIME_SHARE: f64 = 0.25;
+/// Minimum time for connecting.
 const MIN_CONNECT_TIMEOUT_MS: f64 = 50.0;
 
 impl<N: Network> Gateway<N> {
-    /// Plays an attempt from its connection to its end.
+    /// Runs an attempt from obtaining its connection to reporting its end.
     pub(super) async fn forward(
         self: Rc<Self>,
         id: ForwardId,
@@ -31,7 +32,7 @@
         deadline: f64,
         pending: (Rc<Passing>, Rc<Notify>),
     ) {
-        // A target that does not come up must leave time for another.
+        // A target that cannot be connected to must leave time for an attempt on another target.
         let connect_timeout_ms = ((deadline - self.now()) * CONNECT_TIME_SHARE).max(MIN_CONNECT_TIMEOUT_MS);
         let (end, load) = match self.connection_to(target, address, connect_timeout_ms).await {
             Ok(pooled) => self.exchange(id, target, deadline, &pending, pooled).await,
@@ -39,7 +40,7 @@
         };
         self.timed(Activity::AttemptEnd, |host, now| host.forward_ended(now, id, end, load));
         self.execute_orders();
-        // Last, as it ends this very task.
+        // Must come last: dropping the handle aborts this task.
         self.forwards.borrow_mut().remove(&id);
     }
 
@@ -57,7 +58,8 @@
             self.return_to_pool(target, pooled);
             return (ForwardEnd::Lost(Outcome::NotSent), None);
         };
-        // Neither behind its time nor once nobody waits for it may a request be written on.
+        // Writing must stop once the write deadline has passed or the client no longer waits for
+        // the answer.
         let write_deadline = async {
             tokio::select! {
                 biased;
@@ -76,7 +78,7 @@
                 self.return_to_pool(target, pooled);
                 (outcome::of_answer(status, &headers, body), load::of_headers(&headers))
             }
-            // Broken off by this side: that tells nothing of the target.
+            // Aborted by this side, so it says nothing about the target.
             ExchangeResult::Broken { last_byte_written: false }
                 if observer.write_denied.get() || !self.pending_flows.borrow().contains_key(&id.flow) =>
             {
@@ -86,13 +88,15 @@
         }
     }
 
-    /// Whether the client of a flow is still there, as its connection says: its departure may not have been heard of yet.
+    /// Whether the client of a flow is still connected according to its socket. The departure may
+    /// not have been reported yet.
     fn client_is_connected(&self, id: FlowId) -> bool {
         let peek_client = self.pending_flows.borrow().get(&id).map(|pending| pending.peek_client.clone());
         peek_client.is_some_and(|peek_client| peek_client() != PeekResult::Closed)
     }
 
-    /// Whether an attempt may be written on at this instant; one whose client has left ends here.
+    /// Whether an attempt may continue to be written at this instant. If its client has left, the
+    /// flow ends here.
     fn attempt_may_write(self: &Rc<Self>, id: ForwardId, permit: WritePermit) -> bool {
         let client_connected = self.client_is_connected(id.flow);
         let allowed = self.host.borrow_mut().may_write_on(self.now(), id, permit, client_connected);
@@ -102,24 +106,25 @@
         allowed
     }
 
-    /// Has the invariants checked at the instant at which an attempt goes out.
-    fn attempt_reached(&self, id: ForwardId, milestone: WriteStage, announced_ms: f64) {
+    /// Lets routing check its invariants at the instant at which the first or last byte of an
+    /// attempt is written.
+    fn record_attempt_stage(&self, id: ForwardId, stage: WriteStage, announced_ms: f64) {
         let (now, mut host) = (self.now(), self.host.borrow_mut());
-        match milestone {
+        match stage {
             WriteStage::FirstByte => host.attempt_began(now, id),
             WriteStage::LastByte => host.attempt_whole(now, id, announced_ms),
         }
     }
 }
 
-/// Answers for the writing of an attempt.
+/// Controls and observes the writing of one attempt.
 struct AttemptWriteObserver<N> {
     gateway: Rc<Gateway<N>>,
     id: ForwardId,
     permit: WritePermit,
-    /// The time that its head tells the endpoint (ms).
+    /// The remaining time announced to the target in the request head (ms).
     announced_ms: f64,
-    /// Whether it was broken off by this side.
+    /// Whether this side refused to continue writing.
     write_denied: Cell<bool>,
 }
 
@@ -147,12 +152,12 @@
         allowed
     }
 
-    fn on_stage(&self, milestone: WriteStage) {
-        self.gateway.attempt_reached(self.id, milestone, self.announced_ms);
+    fn on_stage(&self, stage: WriteStage) {
+        self.gateway.record_attempt_stage(self.id, stage, self.announced_ms);
     }
 }
 
-/// Waits so many milliseconds; for ever where they have no end.
+/// Sleeps for the given milliseconds, or forever if they are infinite.
 async fn sleep_ms_or_forever(millis: f64) {
     match millis.is_finite() {
         true => tokio::time::sleep(duration_from_ms(millis)).await,
--- a/crates/transport/src/budget.rs
+++ b/crates/transport/src/budget.rs
@@ -1,20 +1,20 @@
-//! The socket budget: descriptors are shared out before they run out.
+//! The socket budget: divides the file descriptors between clients and targets before they run out.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Descriptors kept for what is not counted: standard streams, the runtime's own, the listener,
-/// discovery, and those that a close has not freed yet.
+/// Descriptors reserved for what is not counted: standard streams, the runtime, the listener, the
+/// connection to discovery, and descriptors whose close has not taken effect yet.
 pub const RESERVED_DESCRIPTORS: usize = 32;
 
-/// Descriptors of one side.
+/// The descriptors of one side, clients or targets. Clones share the same count.
 #[derive(Clone, Debug)]
 pub struct Budget {
     used: Rc<Cell<usize>>,
     limit: usize,
 }
 
-/// One descriptor; free again when dropped.
+/// One descriptor of a [`Budget`]; returned to it on drop.
 #[derive(Debug)]
 pub struct Permit(Rc<Cell<usize>>);
 
@@ -25,23 +25,24 @@
 }
 
 impl Budget {
-    /// Shares the sockets out: for clients and for targets. A flow needs one of each, and a repeat or
-    /// a probe one more of the latter.
+    /// Divides the sockets into a budget for clients and one for targets. A flow needs one socket
+    /// of each; a retry or a probe needs one more for a target.
     pub fn split(sockets: usize) -> (Budget, Budget) {
         let free = sockets.saturating_sub(RESERVED_DESCRIPTORS).max(4);
-        // The platform's clients hold up to a third of all for their requests; some hold more for none.
-        // Where the reserve is most of it, three sevenths of the rest would be less than that third, and
-        // requests would wait unaccepted on connections that the machine has accepted.
+        // The platform's clients hold up to a third of all sockets for their requests, and some
+        // hold additional connections without sending requests. With few sockets most of them are
+        // reserved: three sevenths of the rest would then be less than that third, and requests
+        // would wait unaccepted on connections that the kernel has already established.
         let clients = (free * 3 / 7).max(sockets / 3 + 1).min(free - 2);
         (Budget::new(clients), Budget::new(free - clients))
     }
 
-    /// A budget of so many.
+    /// Creates a budget of `limit` descriptors.
     pub fn new(limit: usize) -> Budget {
         Budget { used: Rc::default(), limit }
     }
 
-    /// A descriptor, where one is left.
+    /// Takes a descriptor if one is left.
     pub fn try_acquire(&self) -> Option<Permit> {
         (self.used.get() < self.limit).then(|| {
             self.used.set(self.used.get() + 1);
@@ -49,12 +50,12 @@
         })
     }
 
-    /// Descriptors in all.
+    /// The total number of descriptors.
     pub fn limit(&self) -> usize {
         self.limit
     }
 
-    /// Descriptors in use.
+    /// The number of descriptors in use.
     pub fn used(&self) -> usize {
         self.used.get()
     }
--- a/crates/transport/src/client_stream.rs
+++ b/crates/transport/src/client_stream.rs
@@ -1,7 +1,8 @@
-//! A client's stream, held by hyper and looked at from outside it.
+//! A client's stream, owned by hyper but also observed from outside of it.
 //!
-//! hyper looks for the end of a stream only while it holds no bytes that it has not used. A client that has sent
-//! something behind its request and leaves would not be missed until its answer is written.
+//! hyper checks for the end of a stream only while it holds no unprocessed bytes. If a client sends
+//! something after its request and then leaves, hyper would not notice before the answer is
+//! written.
 
 use super::request_framing::IncomingRequest;
 use roseproxy_routing::time::Now;
@@ -13,14 +14,16 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, AsyncWriteExt, ReadBuf};
 
-/// How much is read at a time of what nobody uses, and how often before others have their turn.
+/// Bytes read at a time from input that is discarded.
 const DISCARD_CHUNK_BYTES: usize = 4096;
+/// Discarding reads in one poll before the task yields to others.
 const MAX_READS_PER_POLL: usize = 16;
 
-/// The stream. All who hold it are polled by one task, so that whoever waits last wakes all of them.
+/// The shared stream. All clones are polled by the same task, so the waker registered last wakes
+/// all of them.
 pub(super) struct ClientStream<S> {
     stream: Rc<RefCell<S>>,
-    /// Since when something that is to be written waits for the client to read (ms).
+    /// Since when a pending write has waited for the client to read (ms).
     write_blocked_since: Rc<Cell<Option<f64>>>,
     now: Now,
 }
@@ -36,7 +39,8 @@
 }
 
 impl<S> ClientStream<S> {
-    /// The stream; `blocked_since` is told since when something waits to be written.
+    /// Wraps a stream; `write_blocked_since` is kept up to date with the time since which a write
+    /// has been blocked.
     pub fn new(stream: S, write_blocked_since: Rc<Cell<Option<f64>>>, now: Now) -> ClientStream<S> {
         ClientStream { stream: Rc::new(RefCell::new(stream)), write_blocked_since, now }
     }
@@ -50,9 +54,9 @@
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> ClientStream<S> {
-    /// Waits until the client of an open flow has left, by an orderly end or a reset. Meanwhile it reads what
-    /// comes behind the request and throws it away: `incoming` counts it, and the connection ends behind the
-    /// answer then. While no flow is open it waits and reads nothing.
+    /// Waits until the client of an open flow has left, by an orderly close or a reset. Meanwhile
+    /// bytes that follow the request are read and discarded; `incoming` counts them, and the
+    /// connection then ends after the answer. While no flow is open this waits without reading.
     pub async fn wait_for_departure(&self, incoming: &IncomingRequest, flow_open: impl Fn() -> bool) {
         poll_fn(|cx| {
             for _ in 0..MAX_READS_PER_POLL {
@@ -71,8 +75,9 @@
         .await;
     }
 
-    /// Ends the sending side and reads on until the client has closed too: a socket closed with bytes unread
-    /// makes the system send a reset, which can destroy the answer just written.
+    /// Shuts down the write side and reads on until the client has closed as well. If a socket is
+    /// closed with unread input, the system sends a reset, which can destroy the answer just
+    /// written.
     pub async fn shutdown_and_drain(&mut self) {
         let _ = self.shutdown().await;
         loop {
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -1,4 +1,5 @@
-//! One connection to a target: hyper's client, with the bytes of each request counted.
+//! One connection to a target: hyper's client, with accounting of the bytes written for each
+//! request.
 
 use super::network::{Peek, PeekResult};
 use super::retrying_stream::RetryingStream;
@@ -17,37 +18,38 @@
 use std::rc::Rc;
 use tokio::io::{AsyncRead, AsyncWrite};
 
-/// Where a connection stands.
+/// The state of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// Open, with nothing on it: the next request may go out.
+    /// Open and unused: the next request may be sent.
     Idle,
-    /// A request is on it.
+    /// A request is in progress.
     Busy {
-        /// Whether its last byte is written: from there on it may run.
+        /// Whether the request's last byte has been written; from then on the request may run.
         last_byte_written: bool,
     },
-    /// Nothing goes out on it any more.
+    /// No further request can be sent.
     Closed,
 }
 
 /// How an exchange ended.
 #[derive(Debug)]
 pub enum ExchangeResult {
-    /// A whole answer came.
+    /// A complete answer was received.
     Answered(StatusCode, HeaderMap, Bytes),
-    /// The connection broke, or what came was no answer.
+    /// The connection failed, or what was received is not a valid answer.
     Broken {
-        /// Whether the request's last byte had been written.
+        /// Whether the last byte of the request had been written.
         last_byte_written: bool,
     },
 }
 
-/// A connection to a target. Dropping it closes it, whatever is on it.
+/// A connection to a target. Dropping it closes it, including any request in progress.
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
     write_progress: WriteProgress,
-    /// The count at which the present request is written whole, while one is out.
+    /// The count of written bytes at which the current request is complete, while one is in
+    /// progress.
     request_end: Option<u64>,
     peek: Peek,
     _driver: AbortOnDrop,
@@ -60,8 +62,8 @@
 }
 
 impl Connection {
-    /// Starts speaking on an open stream; `peek` asks the stream itself, as the driver may not have been
-    /// told yet what has come.
+    /// Starts HTTP on an open stream. `peek` inspects the stream itself, because the driver task
+    /// may not have been notified of received data yet.
     pub async fn start<S>(stream: S, peek: Peek) -> Result<Connection, hyper::Error>
     where
         S: AsyncRead + AsyncWrite + Unpin + 'static,
@@ -69,17 +71,17 @@
         let write_progress = WriteProgress::default();
         let stream = TappedStream::new(RetryingStream::new(stream), write_progress.clone());
         let (sender, driver) = handshake(TokioIo::new(stream)).await?;
-        // What goes wrong on it shows in the exchange, or as a closed connection.
+        // Errors of the driver surface in the exchange or as a closed connection.
         let driver = tokio::task::spawn_local(async move { drop(driver.await) });
         Ok(Connection { sender, write_progress, request_end: None, peek, _driver: driver.into() })
     }
 
-    /// Where it stands.
+    /// The current state.
     pub fn state(&self) -> ConnectionState {
         match self.request_end {
             Some(_) => ConnectionState::Busy { last_byte_written: self.last_byte_written() },
-            // A request written after the close is one that may have run; one written behind bytes that
-            // nobody asked for would take them for its answer.
+            // A request written after the peer's close would count as one that may have run. A
+            // request written after unsolicited bytes would take them for its answer.
             None if self.sender.is_closed() || (self.peek)() != PeekResult::Empty => ConnectionState::Closed,
             None => ConnectionState::Idle,
         }
@@ -89,14 +91,16 @@
         self.request_end.is_some_and(|request_end| self.write_progress.written() >= request_end)
     }
 
-    /// Sends a request and reads its answer whole. It is sent once: a connection that turns out to be
-    /// closed is an exchange that broke, with nothing sent again behind the caller's back.
+    /// Sends a request and reads the complete answer. The request is sent once: if the connection
+    /// turns out to be closed the exchange is broken, and nothing is resent behind the caller's
+    /// back.
     pub async fn exchange(&mut self, outgoing: Outgoing) -> ExchangeResult {
         self.exchange_with_limit(outgoing, BODY_LIMIT).await
     }
 
-    /// The same for a request that must not be written on from some moment: where it is not whole then it is broken
-    /// off, and never runs. `writing` is asked before each write, and told how far it went out.
+    /// Like [`Connection::exchange`], for a request that must not be written any further once
+    /// `write_deadline` completes. If its last byte is not written by then, the request is aborted
+    /// and never runs. `observer` is asked before each write and is notified of the progress.
     pub(super) async fn exchange_guarded(
         &mut self,
         outgoing: Outgoing,
@@ -119,7 +123,7 @@
         }
     }
 
-    /// The same, with the longest body that is read.
+    /// Like [`Connection::exchange`], with a given limit for the body of the answer (bytes).
     pub async fn exchange_with_limit(&mut self, outgoing: Outgoing, limit: usize) -> ExchangeResult {
         match self.send(outgoing).await {
             Ok(answer) => self.read_answer(answer, limit).await,
@@ -127,17 +131,19 @@
         }
     }
 
-    /// Sends a request and waits for the head of its answer, for answers that are streams.
+    /// Sends a request and waits only for the head of the answer, for streamed answers.
     pub async fn send(&mut self, outgoing: Outgoing) -> Result<Response<Incoming>, ExchangeResult> {
-        // The driver may not have seen yet that the answer before was the last; without this, hyper
-        // would refuse a request that it could send.
+        // The driver may not have noticed yet that the previous answer was the last on this
+        // connection. Without waiting for readiness hyper would refuse a request that it could
+        // send.
         if self.sender.ready().await.is_err() {
             return Err(ExchangeResult::Broken { last_byte_written: false });
         }
         self.request_end = Some(self.write_progress.written() + outgoing.length);
         match self.sender.send_request(outgoing.request).await {
-            // A target begins once the last byte has come: what it says sooner is no answer to this request, and
-            // one that never comes whole never runs.
+            // A target starts work once it has received the last byte. Anything it sends earlier is
+            // not an answer to this request, and a request that never arrives completely never
+            // runs.
             Ok(_) if !self.last_byte_written() => Err(self.broken()),
             Ok(answer) => Ok(answer),
             Err(_) => Err(self.broken()),
@@ -146,13 +152,13 @@
 
     async fn read_answer(&mut self, answer: Response<Incoming>, limit: usize) -> ExchangeResult {
         let (head, body) = answer.into_parts();
-        // What is no answer to a request of ours: 101 hands the connection over to another protocol, and a
-        // body said to be larger than the platform allows is not waited for.
+        // Not an answer to our request: status 101 would switch to another protocol, and a body
+        // announced as larger than the platform allows is not waited for.
         let min_body_length = body.size_hint().lower();
         if head.status == StatusCode::SWITCHING_PROTOCOLS || min_body_length > limit as u64 {
             return self.broken();
         }
-        // Against a body without end: no more is read than the platform allows.
+        // Guards against an endless body: no more is read than the platform allows.
         match Limited::new(body, limit).collect().await {
             Ok(body) => {
                 self.request_end = None;
@@ -166,7 +172,7 @@
         ExchangeResult::Broken { last_byte_written: self.last_byte_written() }
     }
 
-    /// Waits until the next request can go out; false where the connection has ended.
+    /// Waits until the next request can be sent; returns false if the connection has ended.
     pub async fn wait_until_idle(&mut self) -> bool {
         self.request_end.is_none() && self.sender.ready().await.is_ok()
     }
--- a/crates/transport/src/connector.rs
+++ b/crates/transport/src/connector.rs
@@ -1,4 +1,4 @@
-//! Opening connections, and whose fault it is where that fails.
+//! Opens connections and decides whether a failure is local or the target's.
 
 use super::connection::Connection;
 use super::duration_from_ms;
@@ -12,27 +12,30 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long to wait before a connect is tried again that failed here (ms): at first, and at most.
+/// Delay before the first retry of a connect that failed for a local reason; it doubles with each
+/// retry.
 const FIRST_RETRY_DELAY_MS: f64 = 5.0;
+/// Longest delay between retries.
 const MAX_RETRY_DELAY_MS: f64 = 40.0;
 
-/// Why no connection came up.
+/// Why a connection could not be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectError {
-    /// This machine could not make it; that tells nothing of the other side.
+    /// This machine could not open it; this says nothing about the other side.
     Local,
-    /// The other side refused it, or did not come up in time.
+    /// The other side refused the connection or did not accept it in time.
     Remote,
 }
 
-/// What an error of a connect means.
+/// Where a connect error comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ErrorOrigin {
-    /// Descriptors, memory, watches or ports are out here, a rule of this machine forbids it, or a signal came.
+    /// A shortage of descriptors, memory, watches or ports on this machine, a local firewall rule,
+    /// or a signal.
     Local,
-    /// No way leads there, which may be so for a moment.
+    /// No route to the address, which may be temporary.
     NoRoute,
-    /// The other side's answer.
+    /// A response of the other side.
     Remote,
 }
 
@@ -45,7 +48,8 @@
     }
 }
 
-/// Opens a connection within a time (ms). A connect that fails here is tried again for as long.
+/// Opens a connection within `timeout_ms`. A connect that fails for a local reason or for lack of a
+/// route is retried until then.
 pub async fn connect<N: Network>(
     network: &N,
     address: SocketAddr,
--- a/crates/transport/src/counters.rs
+++ b/crates/transport/src/counters.rs
@@ -1,47 +1,47 @@
-//! What the sockets count.
+//! Counters of the socket layer.
 
 use roseproxy_routing::event_log::{CloseReason, CLOSES};
 use roseproxy_routing::kinds;
 use std::cell::{Cell, RefCell};
 
-/// What the sockets count.
+/// Counters of the socket layer.
 #[derive(Debug, Default)]
 pub struct Counters {
-    /// Client connections accepted.
+    /// Client connections accepted, including those that still wait for a free socket.
     pub clients_accepted: Cell<u64>,
-    /// Accepts that failed, as when descriptors ran out.
+    /// Accepts that failed, for example because descriptors ran out.
     pub accept_errors: Cell<u64>,
-    /// Client connections ended with half a request, or with none within the time for the first.
+    /// Client connections closed with an incomplete request, or without a first request in time.
     pub requests_late: Cell<u64>,
-    /// Client connections ended as they stood idle.
+    /// Client connections closed because they were idle.
     pub clients_closed_idle: Cell<u64>,
-    /// Forwards and probes not sent for want of a descriptor.
+    /// Forwards and probes not sent for lack of a descriptor.
     pub descriptors_spent: Cell<u64>,
-    /// Requests turned away with a 4xx.
+    /// Requests rejected with a 4xx status.
     pub requests_malformed: Cell<u64>,
     /// Connections opened to targets.
     pub targets_connected: Cell<u64>,
-    /// Requests sent on a kept connection.
+    /// Requests sent on a pooled connection.
     pub targets_reused: Cell<u64>,
-    /// Connections to targets that did not come up.
+    /// Connections to targets that could not be established.
     pub targets_unreachable: Cell<u64>,
-    /// Connects that failed for want of descriptors, memory or ports of this machine.
+    /// Connects that failed for lack of descriptors, memory or ports on this machine.
     pub connects_failed_here: Cell<u64>,
-    /// Reports that could not be read.
+    /// Load reports that could not be decoded.
     pub reports_unread: Cell<u64>,
-    /// Discovery lines and entries that could not be read.
+    /// Discovery messages and list entries that could not be decoded.
     pub lists_unread: Cell<u64>,
-    /// Client connections closed by reason, in the order of [`CLOSES`].
+    /// Client connections closed, by reason, in the order of [`CLOSES`].
     pub clients_closed_by: RefCell<[u64; CLOSES.len()]>,
 }
 
 impl Counters {
-    /// A client's connection has ended.
+    /// Counts a closed client connection.
     pub(super) fn count_close(&self, reason: CloseReason) {
         kinds::add(&mut *self.clients_closed_by.borrow_mut(), &CLOSES, reason);
     }
 
-    /// Every count with its name.
+    /// All counters with their names.
     pub(super) fn named_counts(&self) -> Vec<(String, u64)> {
         let counts = [
             ("clients_accepted", &self.clients_accepted),
@@ -63,7 +63,6 @@
     }
 }
 
-/// One more.
 pub(super) fn increment(cell: &Cell<u64>) {
     cell.set(cell.get() + 1);
 }
--- a/crates/transport/src/discovery.rs
+++ b/crates/transport/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The watch on discovery.
+//! Follows the target list by a long-lived watch request to discovery.
 
 use super::connection::Connection;
 use super::connector::{connect, ConnectError};
@@ -19,34 +19,42 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// Time for a connection to come up, and for an answer to begin: calls wait in turn there (ms).
+/// Time allowed for connecting to discovery.
 const CONNECT_TIMEOUT_MS: f64 = 1_000.0;
+/// Time allowed for discovery to begin an answer: it queues calls and serves them in turn.
 const ANSWER_TIMEOUT_MS: f64 = 3_000.0;
-/// A watch beats every 2 s; without a line, or with an object that does not end, for this long it is dead (ms).
+/// A watch sends a heartbeat every 2 s. A watch that sends no message, or an object that does not
+/// end, for this long is considered dead.
 const WATCH_SILENCE_TIMEOUT_MS: f64 = 3_000.0;
-/// A watch that was open for so long may be opened anew without a pause where it told what cannot be read (ms).
+/// A watch that was open for at least this long may be reopened without a pause if it sent
+/// something that could not be decoded.
 const MIN_HEALTHY_WATCH_MS: f64 = 4_500.0;
-/// Longest list that is read (bytes): three times that of the largest fleets, indented; against one without end.
+/// Largest list that is read, as a guard against one without end: three times the list of the
+/// largest fleets, indented.
 const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// Keeps up with the target group.
+/// Keeps the target list up to date.
 pub struct Watcher<N> {
     gateway: Rc<Gateway<N>>,
-    /// Where discovery is; a reload may move it.
+    /// The address of discovery; a configuration reload may change it.
     address: watch::Receiver<SocketAddr>,
-    /// The version in hand. `None` has the whole list asked for first, which is dear: every line is work
-    /// for discovery, and when all sidecars start at once it answers few calls a second.
+    /// The revision of the current list. With `None` the complete list is requested first, which is
+    /// expensive: discovery spends work on every line, and when all sidecars start at once it
+    /// answers only a few calls per second.
     revision: Option<u64>,
-    /// The version of the list taken last, whoever it came from.
+    /// The revision of the list applied last, whatever its source.
     last_revision: u64,
-    /// The version for which the whole list was asked for, as an entry could not be read.
+    /// The revision for which the complete list was requested because an entry could not be
+    /// decoded.
     refetched_for: Option<u64>,
-    /// When the process began (ms): what changed before may count as told from then on.
+    /// When the process started (ms): changes made before it may count as announced to this sidecar
+    /// from then on.
     process_start: f64,
 }
 
 impl<N: Network> Watcher<N> {
-    /// A watcher of discovery at this address, for a sidecar that has the list of this version in hand.
+    /// Creates a watcher of discovery at this address, for a sidecar that already has the list of
+    /// the given revision.
     pub fn new(
         gateway: Rc<Gateway<N>>,
         address: watch::Receiver<SocketAddr>,
@@ -65,14 +73,14 @@
         }
     }
 
-    /// The same for a process that began earlier, at this time (ms).
+    /// Sets the start time of the process (ms), for a process that began earlier.
     pub fn with_process_start(self, process_start: f64) -> Watcher<N> {
         Watcher { process_start, ..self }
     }
 
-    /// Watches whenever routing wants it, and tells it of failures; routing's timers, which the
-    /// module sets with jitter and ever longer, say when to try again. A new address is no failure
-    /// and is asked at once. Runs as long as the program.
+    /// Watches whenever routing requests it, and reports failures to routing. Routing's timers,
+    /// which the decision module sets with jitter and growing delays, decide when to try again. A
+    /// changed address is not a failure and is called at once. Runs as long as the program.
     pub async fn run(mut self) {
         let (revision, endpoints) = (self.last_revision, self.gateway.endpoints());
         self.gateway.discovery_event(DiscoveryEvent::KeptList { revision, endpoints });
@@ -88,39 +96,43 @@
                 }
             }
             let end = self.watch_until_failure().await;
-            // A wish from before this failure was met by the watch that has just ended: what it left behind would
-            // start the next one at once, beside the pauses that keep all sidecars from calling together.
+            // A watch request made before this failure was served by the watch that has just ended.
+            // Left pending it would start the next watch at once, bypassing the pauses that keep
+            // all sidecars from calling together.
             self.gateway.clear_watch_request();
             self.gateway.discovery_failed(end);
         }
     }
 
-    /// Watches, and opens the watch anew where it fell silent or discovery was moved, until a call fails.
+    /// Watches until a call fails. Reopens the watch after it fell silent or after discovery moved.
     async fn watch_until_failure(&mut self) -> CallEnd {
         loop {
             let address = *self.address.borrow_and_update();
             let mut address_changes = self.address.clone();
-            let began = self.gateway.now();
+            let started_at = self.gateway.now();
             tokio::select! {
                 biased;
-                // It only ever ends by failing. One that was open and fell silent is broken, and what it misses
-                // counts as told 6 s after that: it is opened anew at once. The beats of sidecars differ, which
-                // spreads their calls; one that finds no answer is a failure like others, with their pauses.
-                end = self.run_watch(address, began) => {
-                    let after = self.gateway.now() - began;
-                    self.gateway.discovery_event(DiscoveryEvent::CallEnded(end, after));
-                    // What could not be read is told again from the revision in hand; once is cheap for discovery.
-                    let isolated_decode_error = end == CallEnd::Unreadable && after >= MIN_HEALTHY_WATCH_MS && self.revision.is_some();
+                // A watch only ends by failing. One that was open and fell silent is broken, and
+                // changes that it misses count as announced 6 s later, so it is reopened at once.
+                // Heartbeats are not aligned across sidecars, which spreads these calls. A reopened
+                // watch that gets no answer is an ordinary failure with the usual pauses.
+                end = self.run_watch(address, started_at) => {
+                    let elapsed = self.gateway.now() - started_at;
+                    self.gateway.discovery_event(DiscoveryEvent::CallEnded(end, elapsed));
+                    // Discovery resends what could not be decoded, starting from the current
+                    // revision; once is cheap for it.
+                    let isolated_decode_error = end == CallEnd::Unreadable && elapsed >= MIN_HEALTHY_WATCH_MS && self.revision.is_some();
                     if end != CallEnd::WatchSilent && !isolated_decode_error {
                         return end;
                     }
                     self.gateway.clear_watch_request();
                     self.gateway.watch_reopened(end);
                 }
-                // Another discovery may count its versions otherwise: the whole list is asked for.
+                // Another discovery instance may number its revisions differently, so the complete
+                // list is requested.
                 () = address_changed(&mut address_changes) => {
-                    let after = self.gateway.now() - began;
-                    self.gateway.discovery_event(DiscoveryEvent::CallEnded(CallEnd::Moved, after));
+                    let elapsed = self.gateway.now() - started_at;
+                    self.gateway.discovery_event(DiscoveryEvent::CallEnded(CallEnd::Moved, elapsed));
                     self.gateway.discovery_moved(true);
                     self.revision = None;
                 }
@@ -128,19 +140,20 @@
         }
     }
 
-    /// Follows the list until that fails; the call began at this time.
-    async fn run_watch(&mut self, address: SocketAddr, began: f64) -> CallEnd {
-        match self.open_watch(address, began).await {
+    /// Opens a watch and applies its messages until it fails; `started_at` is when the call began
+    /// (ms).
+    async fn run_watch(&mut self, address: SocketAddr, started_at: f64) -> CallEnd {
+        match self.open_watch(address, started_at).await {
             Ok((_connection, body)) => self.read_watch(body).await,
             Err(end) => end,
         }
     }
 
-    /// Calls discovery, and returns the answer that tells of changes with its connection.
+    /// Calls discovery and returns the streamed answer together with its connection.
     async fn open_watch(
         &mut self,
         address: SocketAddr,
-        began: f64,
+        started_at: f64,
     ) -> Result<(Connection, Incoming), CallEnd> {
         let host = address.to_string();
         self.gateway.call_started(self.revision);
@@ -158,16 +171,16 @@
         let answer = answer.map_err(|_| CallEnd::NoAnswer)?.map_err(|_| CallEnd::Broken)?;
         if answer.status() != StatusCode::OK {
             if answer.status().is_client_error() {
-                // It knows nothing of that version: begin anew from the whole list.
+                // Discovery does not know this revision: start over with the complete list.
                 self.revision = None;
             }
             return Err(CallEnd::TurnedAway);
         }
-        self.gateway.discovery_event(DiscoveryEvent::WatchOpened(self.gateway.now() - began));
+        self.gateway.discovery_event(DiscoveryEvent::WatchOpened(self.gateway.now() - started_at));
         Ok((connection, answer.into_body()))
     }
 
-    /// Asks for the whole list, and returns its revision.
+    /// Requests the complete list and returns its revision.
     async fn fetch_list(&mut self, connection: &mut Connection, host: &str) -> Result<u64, CallEnd> {
         let fetch = connection.exchange_with_limit(Outgoing::get(discovery::LIST, host), MAX_LIST_BYTES);
         let answer = tokio::time::timeout(duration_from_ms(ANSWER_TIMEOUT_MS), fetch).await;
@@ -179,19 +192,19 @@
         self.revision.ok_or(CallEnd::Unreadable)
     }
 
-    /// Takes over what an open watch tells, until it ends.
+    /// Applies the messages of an open watch until it ends.
     async fn read_watch(&mut self, mut body: Incoming) -> CallEnd {
         let mut decoder = WatchDecoder::default();
-        // Half a line, or an object whose end does not come, is no sign of life.
+        // A partial line, or an object whose end does not arrive, does not count as a message.
         let mut last_message_at = self.gateway.now();
         loop {
-            let left = last_message_at + WATCH_SILENCE_TIMEOUT_MS - self.gateway.now();
-            let Ok(frame) = tokio::time::timeout(duration_from_ms(left), body.frame()).await else {
+            let time_left = last_message_at + WATCH_SILENCE_TIMEOUT_MS - self.gateway.now();
+            let Ok(frame) = tokio::time::timeout(duration_from_ms(time_left), body.frame()).await else {
                 return CallEnd::WatchSilent;
             };
             let Some(Ok(frame)) = frame else { return CallEnd::WatchEnded };
             let Ok(data) = frame.into_data() else { continue };
-            // The version to go on from, where something is missing behind it.
+            // The revision to resume from, if something after it could not be decoded.
             let mut resume_from: Option<Option<u64>> = None;
             decoder.take(&data, |frame| {
                 match frame {
@@ -206,7 +219,8 @@
                 }
                 last_message_at = self.gateway.now();
             });
-            // What came behind it holds, but its version would hide that something is missing.
+            // Objects received after the undecodable one stay applied, but resuming from their
+            // revision would hide the gap.
             if let Some(revision) = resume_from {
                 self.revision = revision;
                 return CallEnd::Unreadable;
@@ -218,25 +232,26 @@
         }
     }
 
-    /// Takes over a list. What cannot be read is counted, and has to be asked for again: the list in hand stays, but it is
-    /// known to lack something.
+    /// Applies a list. Whatever cannot be decoded is counted and must be requested again: the
+    /// current list stays in use but is known to be incomplete.
     fn apply(&mut self, text: &[u8]) -> Result<(), CallEnd> {
         let counters = &self.gateway.counters;
-        let began = self.gateway.now();
+        let started_at = self.gateway.now();
         let listing = discovery::read(text);
-        self.gateway.note_held_up(Activity::ReadingList, began);
+        self.gateway.note_held_up(Activity::ReadingList, started_at);
         match listing {
             Ok(Listing { revision, update, targets, unread }) => {
                 counters.lists_unread.set(counters.lists_unread.get() + unread as u64);
-                // One that is behind the list in hand may be older than the word of a drain. It may also come from a
-                // discovery that counts anew, so that it is taken for all the rest.
+                // A list with an older revision may predate a drain announcement. It may also come
+                // from a discovery that restarted its numbering, so everything else in it is
+                // applied.
                 let behind = revision < self.last_revision;
                 (self.revision, self.last_revision) = (Some(revision), revision);
                 let (complete, entries) = (update == Update::Complete, targets.len());
                 let taken = DiscoveryEvent::ListTaken { revision, complete, entries, unread, behind };
                 self.gateway.discovery_event(taken);
                 self.gateway.set_revision(revision);
-                // Before what waits for a list is sent by it.
+                // Must come before applying the list, which sends the requests that wait for one.
                 self.gateway.list_confirmed();
                 self.gateway.apply_discovery_list(update, targets, behind);
                 self.check_unreadable_entries(unread)
@@ -249,8 +264,8 @@
         }
     }
 
-    /// Where entries could not be read, the whole list is asked for: once for each version, as they may not be readable in
-    /// that either.
+    /// Requests the complete list if entries could not be decoded, but only once per revision, as
+    /// they may be undecodable in the complete list too.
     fn check_unreadable_entries(&mut self, unread: usize) -> Result<(), CallEnd> {
         if unread == 0 || self.refetched_for == Some(self.last_revision) {
             return Ok(());
@@ -260,7 +275,7 @@
     }
 }
 
-/// Waits for another address; for ever where none can come any more.
+/// Waits until the address changes, or forever if the sender is gone.
 async fn address_changed(address: &mut watch::Receiver<SocketAddr>) {
     if address.changed().await.is_err() {
         std::future::pending().await
--- a/crates/transport/src/errno.rs
+++ b/crates/transport/src/errno.rs
@@ -1,32 +1,32 @@
-//! Error numbers of Linux, for errors that the standard library has no kind for.
+//! Linux error numbers for errors without an [`std::io::ErrorKind`].
 
-/// Not permitted, as by a rule of the local firewall.
+/// Operation not permitted, for example by a local firewall rule.
 pub const EPERM: i32 = 1;
 /// Interrupted by a signal.
 pub const EINTR: i32 = 4;
-/// The medium fails.
+/// Input/output error of the device.
 pub const EIO: i32 = 5;
-/// Not now; of a connect: no port or route entry is free.
+/// Try again; for connect: no free port or routing entry.
 pub const EAGAIN: i32 = 11;
-/// No memory is left.
+/// Out of memory.
 pub const ENOMEM: i32 = 12;
-/// Access is denied, as by a rule of the local firewall.
+/// Permission denied, for example by a local firewall rule.
 pub const EACCES: i32 = 13;
-/// The machine is out of descriptors.
+/// The system has run out of file descriptors.
 pub const ENFILE: i32 = 23;
-/// The process is out of descriptors.
+/// The process has run out of file descriptors.
 pub const EMFILE: i32 = 24;
-/// No room is left on a device, or for another watch of the event queue.
+/// No space left on a device, or for another watch of the event queue.
 pub const ENOSPC: i32 = 28;
 /// Not a socket.
 pub const ENOTSOCK: i32 = 88;
-/// The port is held.
+/// The address and port are in use.
 pub const EADDRINUSE: i32 = 98;
-/// No local address or port is free.
+/// No local address or port is available.
 pub const EADDRNOTAVAIL: i32 = 99;
 /// The network is down.
 pub const ENETDOWN: i32 = 100;
-/// No way leads there.
+/// The network is unreachable.
 pub const ENETUNREACH: i32 = 101;
-/// No buffer is free.
+/// No buffer space is available.
 pub const ENOBUFS: i32 = 105;
--- a/crates/transport/src/gateway.rs
+++ b/crates/transport/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The joint between routing and the sockets.
+//! The gateway between routing and the sockets.
 
 use super::budget::Budget;
 use super::connection::ExchangeResult;
@@ -25,51 +25,55 @@
 use std::rc::Rc;
 use tokio::sync::{oneshot, Notify};
 
-/// How often idle connections are looked through (ms).
+/// Period at which expired idle connections are closed.
 const IDLE_SWEEP_PERIOD_MS: f64 = 250.0;
 
+/// A flow that waits for its answer.
 pub(super) struct PendingFlow {
     pub(super) request: Rc<Passing>,
-    /// Looks at the client's connection.
+    /// Inspects the client's connection.
     pub(super) peek_client: Peek,
     answer: oneshot::Sender<Answer>,
-    /// Tells its forwards that nobody waits any more.
+    /// Notifies the flow's forwards that no one waits for the answer any more.
     ended: Rc<Notify>,
 }
 
-/// Carries out routing's orders on sockets and reports back.
+/// Executes routing's orders on the network and reports the results back to routing.
 pub struct Gateway<N> {
     network: N,
     pub(super) host: RefCell<Host>,
     now: Now,
-    /// How requests name their classes.
+    /// Determines the class that a request names.
     pub classes: Classes,
-    /// What the sockets count.
+    /// Counters of the socket layer.
     pub counters: Counters,
     pool: RefCell<Pool>,
     target_budget: Budget,
-    connect_timeout: f64,
+    connect_timeout_ms: f64,
     pub(super) pending_flows: RefCell<HashMap<FlowId, PendingFlow>>,
-    /// The clients' ids of the flows that wait.
+    /// Request ids, as sent by the clients, of the pending flows.
     open_request_ids: RefCell<HashSet<HeaderValue>>,
     pub(super) forwards: RefCell<HashMap<ForwardId, AbortOnDrop>>,
     probes: RefCell<HashMap<ServerId, AbortOnDrop>>,
-    /// When the timer task will wake, and how to wake it sooner.
+    /// When the timer task will wake; infinite while no timer is set.
     timer_wakes_at: Cell<f64>,
+    /// Wakes the timer task before that time.
     timer_changed: Notify,
-    /// Whether routing wants discovery watched and no watch has begun since, and who waits to hear it.
+    /// Whether routing has requested a watch on discovery and none has been started since.
     watch_pending: Cell<bool>,
+    /// Wakes the task that waits for a watch request.
     watch_notify: Notify,
-    /// Revision of the list in hand; 0 before any.
+    /// Revision of the current list; 0 before the first.
     revision: Cell<u64>,
-    /// When endpoints started, on the program's clock.
+    /// Start times of the endpoints on the program's clock.
     start_times: RefCell<StartTimes>,
-    /// The wall clock; where there is none, the program's clock stands for it.
+    /// The wall clock; if unset, the program's clock is used in its place.
     wall_clock: RefCell<Option<Now>>,
 }
 
 impl<N: Network> Gateway<N> {
-    /// Joins a host with the network.
+    /// Connects routing's host to a network; `targets` is the socket budget for connections to
+    /// targets.
     pub fn new(network: N, host: Host, classes: Classes, targets: Budget, now: Now) -> Rc<Gateway<N>> {
         let network_settings = host.settings().network;
         Rc::new(Gateway {
@@ -80,7 +84,7 @@
             counters: Counters::default(),
             pool: RefCell::new(Pool::new(to_millis(network_settings.conn_idle))),
             target_budget: targets,
-            connect_timeout: to_millis(network_settings.connect_timeout),
+            connect_timeout_ms: to_millis(network_settings.connect_timeout),
             pending_flows: RefCell::default(),
             open_request_ids: RefCell::default(),
             forwards: RefCell::default(),
@@ -95,12 +99,12 @@
         })
     }
 
-    /// The program's time.
+    /// The current time on the program's clock (ms).
     pub fn now(&self) -> f64 {
         (self.now)()
     }
 
-    /// Where its streams come from.
+    /// The network from which streams are obtained.
     pub(super) fn network(&self) -> &N {
         &self.network
     }
@@ -110,8 +114,9 @@
         self.now.clone()
     }
 
-    /// Takes in a flow, with what looks at its client's connection; its answer comes on the channel. `None` where a request with its id is open: that
-    /// one belongs to another client, and a target would take this one for a repeat of it.
+    /// Starts a flow for a request. `peek_client` inspects the client's connection; the answer is
+    /// sent on the returned channel. Returns `None` if a request with the same id is open: that
+    /// request belongs to another client, and a target would take this one for a retry of it.
     pub fn start_flow(
         self: &Rc<Self>,
         new: NewFlow,
@@ -132,7 +137,7 @@
         Some((id, receiver))
     }
 
-    /// Ends the wait for a flow's answer, and lets go of its id.
+    /// Removes a flow from the pending ones, releases its request id and notifies its forwards.
     fn remove_pending(&self, id: FlowId) -> Option<PendingFlow> {
         let pending = self.pending_flows.borrow_mut().remove(&id)?;
         self.open_request_ids.borrow_mut().remove(&pending.request.id);
@@ -140,7 +145,7 @@
         Some(pending)
     }
 
-    /// The client of a flow has left. Of one that has its answer this changes nothing.
+    /// Reports that the client of a flow has left. Has no effect on a flow that has been answered.
     pub fn client_gone(self: &Rc<Self>, id: FlowId) {
         if self.remove_pending(id).is_some() {
             self.timed(Activity::Departure, |host, now| host.client_gone(now, id));
@@ -148,18 +153,19 @@
         }
     }
 
-    /// Has starts in wall-clock time held against this clock, too.
+    /// Sets the wall clock, against which start times given in wall-clock time are compared as
+    /// well.
     pub fn set_wall_clock(&self, wall: Now) {
         *self.wall_clock.borrow_mut() = Some(wall);
     }
 
-    /// A list of the target group that was kept from before.
+    /// Applies a target list that was stored before the start.
     pub fn apply_kept_list(self: &Rc<Self>, update: Update, targets: &[Target]) {
         self.apply_list(Source::Kept, update, targets.to_vec(), false);
     }
 
-    /// A list that discovery has told. In one that is behind the list in hand, who leaves is not taken back into
-    /// service by it.
+    /// Applies a target list received from discovery. A list that is `outdated`, behind the current
+    /// one, does not bring targets that are leaving back into service.
     pub(super) fn apply_discovery_list(
         self: &Rc<Self>,
         update: Update,
@@ -180,80 +186,82 @@
         self.execute_orders();
     }
 
-    /// Records the revision of the list in hand, for the counters.
+    /// Records the revision of the current list for the counters.
     pub(super) fn set_revision(&self, revision: u64) {
         self.revision.set(revision);
     }
 
-    /// A call to discovery failed, or the watch broke.
+    /// Reports that a call to discovery failed or that the watch broke.
     pub fn discovery_failed(self: &Rc<Self>, end: CallEnd) {
         self.host.borrow_mut().targets_failed(self.now(), end);
         self.execute_orders();
     }
 
-    /// Records what happened between this sidecar and discovery.
+    /// Records an event between this sidecar and discovery.
     pub(super) fn discovery_event(&self, event: DiscoveryEvent) {
         self.host.borrow_mut().discovery_event(self.now(), event);
     }
 
-    /// From now on discovery is followed; the list in hand is one that was kept from before the start, at this time (ms).
-    pub(super) fn follow_discovery(self: &Rc<Self>, began: f64) {
-        self.host.borrow_mut().follow_discovery(self.now(), began);
+    /// Starts following discovery. The current list was stored before the start, which was at
+    /// `started_at` (ms).
+    pub(super) fn follow_discovery(self: &Rc<Self>, started_at: f64) {
+        self.host.borrow_mut().follow_discovery(self.now(), started_at);
         self.execute_orders();
     }
 
-    /// A call to discovery goes out.
+    /// Reports that a call to discovery is being made.
     pub(super) fn call_started(self: &Rc<Self>, revision: Option<u64>) {
         self.host.borrow_mut().call_started(self.now(), revision);
         self.execute_orders();
     }
 
-    /// Discovery has told of a change, or that there is none.
+    /// Reports that discovery has sent a change or confirmed that there is none.
     pub(super) fn list_confirmed(self: &Rc<Self>) {
         self.host.borrow_mut().list_confirmed(self.now());
         self.execute_orders();
     }
 
-    /// Discovery was moved; `calling` is whether a call or a watch was open.
+    /// Reports that discovery moved to another address; `calling` tells whether a call or a watch
+    /// was open.
     pub(super) fn discovery_moved(self: &Rc<Self>, calling: bool) {
         self.host.borrow_mut().discovery_moved(self.now(), calling);
         self.execute_orders();
     }
 
-    /// The watch ended so, and is opened anew without a pause.
+    /// Reports that the watch ended and is reopened without a pause.
     pub(super) fn watch_reopened(self: &Rc<Self>, end: CallEnd) {
         self.host.borrow_mut().watch_reopened(self.now(), end);
         self.execute_orders();
     }
 
-    /// Waits until routing wants to watch discovery.
+    /// Waits until routing requests a watch on discovery.
     pub async fn watch_requested(&self) {
         while !self.watch_pending.take() {
             self.watch_notify.notified().await;
         }
     }
 
-    /// Forgets a wish to watch that has not been met.
+    /// Discards a watch request that has not been served.
     pub(super) fn clear_watch_request(&self) {
         self.watch_pending.set(false);
     }
 
-    /// Has warnings printed as they happen, or each event.
+    /// Logs warnings as they happen, or every event if `every` is set.
     pub fn log_to(&self, sink: Sink, every: bool) {
         self.host.borrow_mut().events.log_to(sink, every);
     }
 
-    /// Records an event of no request.
+    /// Records an event that belongs to no request.
     pub(super) fn record(&self, kind: EventKind) {
         self.host.borrow_mut().events.record(self.now(), None, kind);
     }
 
-    /// The latest events, one a line.
+    /// The latest events, one per line.
     pub fn events(&self) -> String {
         self.host.borrow().events.text()
     }
 
-    /// A client's connection ends; `open` is the request on it that has no answer.
+    /// Records that a client's connection ends; `open` is the unanswered flow on it, if any.
     pub(super) fn client_closed(&self, reason: CloseReason, open: Option<FlowId>) {
         self.counters.count_close(reason);
         let mut host = self.host.borrow_mut();
@@ -264,7 +272,7 @@
         }
     }
 
-    /// The process ends now: what is still open is lost.
+    /// Records every flow that is still open when the process exits as a violation, as it is lost.
     pub fn record_open_at_exit(&self) {
         let mut host = self.host.borrow_mut();
         for request in host.open_ids() {
@@ -272,13 +280,13 @@
         }
     }
 
-    /// Whether a request would find an endpoint, by a list that may be acted on.
+    /// Whether a request could be sent to an endpoint of a list that is still valid.
     pub fn can_serve(&self) -> bool {
         self.host.borrow().can_serve(self.now())
     }
 
-    /// The process is about to end: answers all flows that are open as failed, and whatever comes from here on.
-    /// Returns how many were open.
+    /// Prepares for the end of the process: answers all open flows as failed, and likewise all that
+    /// follow. Returns how many were open.
     pub fn shut_down(self: &Rc<Self>) -> usize {
         let open = self.open_flows();
         self.host.borrow_mut().end(self.now());
@@ -286,39 +294,39 @@
         open
     }
 
-    /// Endpoints that the list in hand names.
+    /// Number of endpoints in the current list.
     pub(super) fn endpoints(&self) -> usize {
         self.host.borrow().endpoints()
     }
 
-    /// Flows without an answer.
+    /// Number of unanswered flows.
     pub fn open_flows(&self) -> usize {
         self.host.borrow().open_flows()
     }
 
-    /// All counts by name.
+    /// All counters and gauges with their names.
     pub fn counts(&self) -> Vec<(String, u64)> {
-        let mut lines = self.host.borrow().book.lines();
-        lines.extend(self.host.borrow().picture());
-        lines.extend(self.counters.named_counts());
-        let now = [
+        let mut counts = self.host.borrow().book.lines();
+        counts.extend(self.host.borrow().picture());
+        counts.extend(self.counters.named_counts());
+        let gauges = [
             ("discovery_revision", self.revision.get()),
             ("discovery_list_age_ms", self.host.borrow().list_age(self.now()) as u64),
             ("targets_idle", self.pool.borrow().len() as u64),
             ("targets_open", self.target_budget.used() as u64),
         ];
-        lines.extend(now.map(|(name, count)| (name.to_owned(), count)));
-        lines
+        counts.extend(gauges.map(|(name, count)| (name.to_owned(), count)));
+        counts
     }
 
-    /// Lets routing's timers go off; runs as long as the program.
+    /// Fires routing's timers when they are due; runs as long as the program.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
             let due = self.host.borrow().next_due();
             self.timer_wakes_at.set(due.unwrap_or(f64::INFINITY));
             match due {
                 Some(due) => tokio::select! {
-                    // In this order, so that equal runs go equal ways.
+                    // Biased so that equal runs take equal paths.
                     biased;
                     () = tokio::time::sleep(duration_from_ms(due - self.now())) => {}
                     () = self.timer_changed.notified() => {}
@@ -331,7 +339,7 @@
         }
     }
 
-    /// Closes connections that stood idle for long; runs as long as the program.
+    /// Periodically closes expired idle connections; runs as long as the program.
     pub async fn run_sweeps(self: Rc<Self>) {
         loop {
             tokio::time::sleep(duration_from_ms(IDLE_SWEEP_PERIOD_MS)).await;
@@ -339,21 +347,22 @@
         }
     }
 
-    /// Does something with the host; how long it held up the program's one thread is recorded.
+    /// Runs an operation on the host and records how long it blocked the single-threaded event
+    /// loop.
     pub(super) fn timed<T>(&self, activity: Activity, act: impl FnOnce(&mut Host, f64) -> T) -> T {
-        let began = self.now();
-        let done = act(&mut self.host.borrow_mut(), began);
-        self.note_held_up(activity, began);
-        done
+        let started_at = self.now();
+        let result = act(&mut self.host.borrow_mut(), started_at);
+        self.note_held_up(activity, started_at);
+        result
     }
 
-    /// The one thread was busy with this since then (ms).
-    pub(super) fn note_held_up(&self, activity: Activity, began: f64) {
+    /// Records that an activity has blocked the event loop since `started_at` (ms).
+    pub(super) fn note_held_up(&self, activity: Activity, started_at: f64) {
         let now = self.now();
-        self.host.borrow_mut().held_up(now, activity, now - began);
+        self.host.borrow_mut().held_up(now, activity, now - started_at);
     }
 
-    /// Timers that were due then go off only now.
+    /// Records how late the timers that were due at `due` fire.
     fn note_late_timers(&self, due: Option<f64>) {
         let now = self.now();
         if let Some(late) = due.map(|due| now - due) {
@@ -361,7 +370,7 @@
         }
     }
 
-    /// Carries out what routing has ordered, in order.
+    /// Executes routing's pending orders in sequence.
     pub(super) fn execute_orders(self: &Rc<Self>) {
         loop {
             let order = self.host.borrow_mut().next_order();
@@ -383,7 +392,7 @@
                     .borrow()
                     .get(&id.flow)
                     .map(|flow| (flow.request.clone(), flow.ended.clone()));
-                // Routing sends only for flows that it holds open, and those wait here.
+                // Routing sends only for flows that it holds open, and those are pending here.
                 let Some(pending) = pending else { return };
                 let deadline = self.now() + patience;
                 let task = self.clone().forward(id, target, address, deadline, pending);
@@ -391,7 +400,8 @@
             }
             Order::GiveUp(id) => drop(self.forwards.borrow_mut().remove(&id)),
             Order::Answer(id, answer) => {
-                // A client that has left in this very moment hears nothing; that is no loss.
+                // A client that left at this very moment does not receive the answer, which is no
+                // loss.
                 self.remove_pending(id).map(|flow| flow.answer.send(answer));
             }
             Order::Probe(target, address) => {
@@ -408,7 +418,7 @@
     }
 
     async fn probe(self: Rc<Self>, target: ServerId, address: SocketAddr) {
-        let end = match self.connection_to(target, address, self.connect_timeout).await {
+        let end = match self.connection_to(target, address, self.connect_timeout_ms).await {
             Err(outcome) => ProbeEnd { outcome, load: None },
             Ok(mut pooled) => match pooled.connection.exchange(Outgoing::get("/stats", "origin.svc")).await {
                 ExchangeResult::Answered(status, _, body) => {
@@ -434,8 +444,9 @@
         ProbeEnd { outcome: Outcome::Served, load }
     }
 
-    /// A connection to a target: a kept one, or a new one where the budget has room. Without one it says
-    /// what that tells: an own shortage of descriptors tells nothing of the target.
+    /// Returns a connection to a target: a pooled one, or a new one if the budget allows. The error
+    /// tells what the failure means for the target; a local shortage of descriptors says nothing
+    /// about it.
     pub(super) async fn connection_to(
         &self,
         target: ServerId,
@@ -455,7 +466,7 @@
             return Err(Outcome::NotSent);
         };
         let (counter, pooled) =
-            match connect(&self.network, address, timeout_ms.min(self.connect_timeout)).await {
+            match connect(&self.network, address, timeout_ms.min(self.connect_timeout_ms)).await {
                 Ok(connection) => {
                     (&self.counters.targets_connected, Ok(PooledConnection { connection, address, permit }))
                 }
@@ -466,7 +477,7 @@
         pooled
     }
 
-    /// Puts a connection back once it is ready for the next request.
+    /// Returns a connection to the pool once it is ready for the next request.
     pub(super) fn return_to_pool(self: &Rc<Self>, target: ServerId, mut pooled: PooledConnection) {
         let gateway = self.clone();
         tokio::task::spawn_local(async move {
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,7 +1,12 @@
-//! Sockets: the listener, connections to targets and to discovery, byte accounting, socket budget.
+//! Socket layer of the sidecar: accepts client connections, keeps connections to targets, and
+//! follows discovery.
 //!
-//! [`Gateway`] joins them with [`roseproxy_routing`]: it carries out routing's orders on the network and
-//! reports back what came of them.
+//! The [`listener`] reads requests and hands them to [`Gateway`], which executes the orders of
+//! [`roseproxy_routing`] on the network and reports the results back. HTTP messages and their
+//! encoding come from [`roseproxy_platform`], the HTTP implementation from hyper. All sockets are
+//! opened through the [`network::Network`] trait, so that tests and simulations can replace them.
+//! Start reading at [`Gateway`], then see [`listener`] for the client side, [`connection`] and
+//! [`pool`] for the target side, and [`discovery`].
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -31,7 +36,7 @@
 
 use tokio::task::{AbortHandle, JoinHandle};
 
-/// A task that ends, and lets go of its connection, when nobody holds it any more.
+/// A task handle that aborts the task on drop, which also releases the task's connection.
 #[derive(Debug)]
 pub(crate) struct AbortOnDrop(AbortHandle);
 
@@ -47,7 +52,8 @@
     }
 }
 
-/// Program milliseconds as a length of time for the runtime; never negative, never endless.
+/// Converts milliseconds on the program's clock to a duration between zero and one day, so never
+/// negative or infinite.
 pub(crate) fn duration_from_ms(millis: f64) -> std::time::Duration {
     std::time::Duration::from_secs_f64(millis.clamp(0.0, 86_400_000.0) / 1000.0)
 }
--- a/crates/transport/src/listener.rs
+++ b/crates/transport/src/listener.rs
@@ -1,4 +1,4 @@
-//! The listener: the application's connections and the requests on them.
+//! Accepts client connections and serves the requests on them.
 
 use super::acceptor::{AcceptedClient, Acceptor};
 use super::budget::{Budget, Permit};
@@ -30,75 +30,82 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// A request must be there whole this long after its first byte, and a new connection's first one this
-/// long after its client connected (ms): against clients that hold a connection with half a request or
-/// with none. The platform's slowest usual client gives a request up sooner.
+/// Time within which a request must be complete after its first byte, and the first request of a
+/// connection after its client connected. Guards against clients that hold a connection with an
+/// incomplete request or with none. The platform's slowest usual client gives a request up sooner.
 const REQUEST_TIMEOUT_MS: f64 = 2_500.0;
-/// What a body gets of that at least, where its head came late (ms).
+/// Minimum of that time left for the body if the head arrived late.
 const MIN_BODY_TIMEOUT_MS: f64 = 250.0;
-/// How long a connection may stand idle between requests (ms): where more than half of the places are
-/// taken, and else. Clients keep connections, and one that is quiet for a while should not find its
-/// connection closed under its next request; but some keep theirs and never ask again.
+/// Idle time between requests after which a connection is closed, while more than half of the
+/// client sockets are in use.
 const CROWDED_IDLE_TIMEOUT_MS: f64 = 2_000.0;
+/// The same while at most half are in use. Clients reuse their connections, and one that is idle
+/// for a while should not be closed under its next request; but some clients keep connections and
+/// never send on them again.
 const IDLE_TIMEOUT_MS: f64 = 90_000.0;
-/// How old a connection on which nothing was asked yet must be before it makes room or ends with the program (ms):
-/// its first request may be under way.
+/// Minimum age at which a connection without any request so far may be closed to free its socket or
+/// at shutdown: its first request may be in transit.
 const FIRST_REQUEST_GRACE_MS: f64 = 300.0;
-/// How long what a client still sends is read behind the last answer (ms).
+/// How long input is still read and discarded after the last answer.
 const LINGER_TIMEOUT_MS: f64 = 300.0;
-/// How long a client may take nothing of an answer (ms): then it holds its place for nothing. It can tell that the
-/// answer is not whole.
+/// How long a client may accept no bytes of an answer before its connection is closed, since it
+/// holds a socket for nothing. The client can tell that the answer is incomplete.
 const ANSWER_STALL_TIMEOUT_MS: f64 = 5_000.0;
-/// Longest head that is read; a larger one gets a 431.
+/// Longest request head that is read; a larger one gets a 431.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// How the listener takes new work.
+/// How the listener treats new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// As usual.
+    /// Normal operation.
     Open,
-    /// Told to stop, while clients still come: as usual, but no longer ready.
+    /// Shutdown has been requested but clients still connect: normal operation, except that
+    /// readiness is reported as false.
     NotReady,
-    /// Connections end with their present request.
+    /// Each connection ends with its current request.
     Closing,
 }
 
-/// A client's connection, as the listener sees it.
+/// The listener's record of a client connection.
 #[derive(Debug, Default)]
 struct ConnectionSlot {
-    /// Since when it has had nothing to do; `None` while a request is on it.
+    /// Since when no request is in progress (ms); `None` during a request.
     idle_since: Cell<Option<f64>>,
-    /// Since when an answer waits to be written (ms): an answer given is not yet an answer sent.
+    /// Since when answer bytes have been waiting to be written (ms): an answer handed to hyper is
+    /// not yet sent.
     write_blocked_since: Rc<Cell<Option<f64>>>,
-    /// When its client may have connected at the earliest (ms).
+    /// The earliest time at which the client may have connected (ms).
     earliest_connect_at: Cell<f64>,
-    /// How long what came on it first may have waited to be read (ms): that much of its client's time is gone.
+    /// How long the first input may have waited to be read (ms): the client's time limit is already
+    /// reduced by that much.
     read_delay: Cell<f64>,
-    /// Whether a whole head has come on it yet.
+    /// Whether a complete request head has been received.
     had_request: Cell<bool>,
-    /// What comes in.
+    /// The request being received.
     incoming: Rc<IncomingRequest>,
-    /// The flow that is open on it, whose client may leave.
+    /// The flow in progress, whose client may leave.
     open_flow: Cell<Option<FlowId>>,
-    /// Whether it is to end as soon as nothing is on it, or behind the next answer.
+    /// Whether to close the connection as soon as it is unused, or after the next answer.
     close_requested: Cell<bool>,
-    /// Whether bytes may be left unread behind its last answer.
+    /// Whether unread bytes may be left after the last answer.
     may_have_unread_input: Cell<bool>,
-    /// Whether the answer given is the last one on it.
-    answered_last: Cell<bool>,
-    /// Asks for a look whether it is to end. What was seen when this was asked may not hold any more: its own task
-    /// looks again.
+    /// Whether the answer given is the last on this connection.
+    last_answer_given: Cell<bool>,
+    /// Asks the connection's own task to check whether the connection should end. The task checks
+    /// again because the condition that caused the notification may no longer hold.
     recheck: Notify,
 }
 
 impl ConnectionSlot {
-    /// Since when it has stood there with nothing asked, not even half, and no answer to be written.
+    /// Since when the connection has been idle: no request in progress, not even a partial one, and
+    /// no answer left to write.
     fn fully_idle_since(&self) -> Option<f64> {
         let busy = self.incoming.started_at().is_some() || self.write_blocked_since.get().is_some();
         self.idle_since.get().filter(|_| !busy)
     }
 
-    /// Whether a request has taken too long to come whole, or the first one to come at all.
+    /// Whether a request has taken too long to arrive completely, or the first one to arrive at
+    /// all.
     fn request_overdue(&self, now: f64) -> bool {
         let Some(since) = self.idle_since.get() else { return false };
         let started_at = if self.had_request.get() {
@@ -109,18 +116,18 @@
         started_at.is_some_and(|started_at| now - started_at >= REQUEST_TIMEOUT_MS)
     }
 
-    /// Whether its client has not read on for too long.
+    /// Whether the client has accepted no answer bytes for too long.
     fn answer_stalled(&self, now: f64) -> bool {
         self.write_blocked_since.get().is_some_and(|since| now - since >= ANSWER_STALL_TIMEOUT_MS)
     }
 
-    /// It ends as soon as nothing is on it.
+    /// Closes the connection as soon as it is unused.
     fn request_close(&self) {
         self.close_requested.set(true);
         self.recheck.notify_one();
     }
 
-    /// Waits until its place is wanted.
+    /// Waits until this connection's socket is needed.
     async fn wait_for_close_request(&self) {
         while !self.close_requested.get() {
             self.recheck.notified().await;
@@ -128,7 +135,7 @@
     }
 }
 
-/// The client side.
+/// The client side: accepts connections and serves their requests.
 pub struct Listener<N> {
     gateway: Rc<Gateway<N>>,
     budget: Budget,
@@ -139,12 +146,12 @@
     accepted_at: Cell<f64>,
     acceptor: Acceptor,
     event_loop_lag: EventLoopLag,
-    /// Prints the counters.
+    /// Renders the counters as text.
     render_counters: Rc<dyn Fn() -> String>,
 }
 
 impl<N: Network> Listener<N> {
-    /// A listener for this gateway's clients.
+    /// Creates a listener for clients of this gateway.
     pub fn new(gateway: Rc<Gateway<N>>, budget: Budget, counters: Rc<dyn Fn() -> String>) -> Rc<Listener<N>> {
         let accepted_at = Cell::new(gateway.now());
         let acceptor = Acceptor::new(gateway.now());
@@ -165,12 +172,13 @@
 
     /// Accepts connections as long as the program runs.
     pub async fn run(self: Rc<Self>, socket: N::Listener) {
-        let _limits: AbortOnDrop = tokio::task::spawn_local(self.clone().enforce_timeouts()).into();
+        let _timeout_task: AbortOnDrop = tokio::task::spawn_local(self.clone().enforce_timeouts()).into();
         loop {
             let accepted = self.acceptor.accept(self.gateway.network(), &socket, || self.gateway.now()).await;
             match accepted {
                 Ok(accepted) => self.clone().assign_slot(accepted).await,
-                // Descriptors may be out, or the client has left again: neither ends the listener.
+                // Descriptors may have run out, or the client has already left: neither ends the
+                // listener.
                 Err(_) => {
                     increment(&self.gateway.counters.accept_errors);
                     let pause_ms = self.acceptor.pause_ms();
@@ -182,20 +190,22 @@
         }
     }
 
-    /// Waits for a place for a connection, and serves it there.
+    /// Waits for a client socket permit for an accepted connection, then serves the connection in a
+    /// task of its own.
     async fn assign_slot(self: Rc<Self>, accepted: AcceptedClient<N::AcceptedStream>) {
         increment(&self.gateway.counters.clients_accepted);
         self.accepted_at.set(self.gateway.now());
-        // Only now: room made for a client that never comes would cost another its connection.
+        // Only after the accept: closing an idle connection in advance, for a client that never
+        // comes, would cost another client its connection.
         let permit = self.acquire_permit().await;
         let slot_id = self.last_slot_id.get() + 1;
         self.last_slot_id.set(slot_id);
         let (slot, now) = (Rc::new(ConnectionSlot::default()), self.gateway.now());
         slot.idle_since.set(Some(now));
         slot.earliest_connect_at.set(accepted.earliest_connect_at);
-        // What is there already may have been sent as soon as the client connected.
-        let unread = (accepted.peek)() != PeekResult::Empty;
-        slot.read_delay.set(if unread { (now - accepted.earliest_connect_at).max(0.0) } else { 0.0 });
+        // Input that is already there may have been sent as soon as the client connected.
+        let has_input = (accepted.peek)() != PeekResult::Empty;
+        slot.read_delay.set(if has_input { (now - accepted.earliest_connect_at).max(0.0) } else { 0.0 });
         self.slots.borrow_mut().insert(slot_id, slot.clone());
         tokio::task::spawn_local(async move {
             self.serve(&slot, accepted.stream, accepted.peek).await;
@@ -205,20 +215,23 @@
         });
     }
 
-    /// A place for one more connection; where all are taken, the one idle longest makes room.
+    /// Acquires a permit for one more connection. While none is left, closes the connection that
+    /// has been idle longest.
     async fn acquire_permit(&self) -> Permit {
         loop {
             if let Some(permit) = self.budget.try_acquire() {
                 return permit;
             }
             self.close_longest_idle();
-            // The one chosen may have been asked something in this very moment: another one then.
+            // The chosen connection may have received a request at this very moment; the next round
+            // picks another.
             let _ = tokio::time::timeout(duration_from_ms(TICK_PERIOD_MS), self.slot_freed.notified()).await;
         }
     }
 
-    /// Makes room: by a connection that never asked anything, before one of a client that may ask again; not by one
-    /// that has only just come, as its first request is under way.
+    /// Requests the close of an idle connection. Connections that never carried a request go before
+    /// those whose clients may send again. Connections that have only just been opened are spared,
+    /// as their first request may be in transit.
     fn close_longest_idle(&self) {
         let (slots, now) = (self.slots.borrow(), self.gateway.now());
         let idle =
@@ -230,18 +243,18 @@
         }
     }
 
-    /// Ends connections that hold a place for nothing.
+    /// Closes connections that hold a socket without using it.
     async fn enforce_timeouts(self: Rc<Self>) {
         loop {
             tokio::time::sleep(duration_from_ms(TICK_PERIOD_MS)).await;
             let now = self.gateway.now();
             self.event_loop_lag.tick(now);
             let slots = self.slots.borrow();
-            let idle =
+            let idle_timeout_ms =
                 if slots.len() * 2 > self.budget.limit() { CROWDED_IDLE_TIMEOUT_MS } else { IDLE_TIMEOUT_MS };
             for slot in slots.values() {
-                let long = slot.fully_idle_since().is_some_and(|since| now - since >= idle);
-                if long && !slot.close_requested.get() {
+                let expired = slot.fully_idle_since().is_some_and(|since| now - since >= idle_timeout_ms);
+                if expired && !slot.close_requested.get() {
                     increment(&self.gateway.counters.clients_closed_idle);
                     slot.request_close();
                 } else if slot.request_overdue(now)
@@ -254,8 +267,9 @@
         }
     }
 
-    /// Why a connection ends now, if it does. A request whose last byte is there is taken, read or not: only where nothing is
-    /// being answered and nothing waits to be read or written may it be closed.
+    /// Why a connection ends now, if it does. A request counts as accepted once its last byte has
+    /// arrived, whether read or not: a connection may be closed only while nothing is being
+    /// answered and nothing waits to be read or written.
     fn close_reason(&self, slot: &ConnectionSlot, peek: &Peek) -> Option<CloseReason> {
         let now = self.gateway.now();
         if slot.answer_stalled(now) {
@@ -284,18 +298,20 @@
         let stream = TappedStream::new(client_stream.clone(), tap);
         let service = service_fn(|request| self.clone().handle(slot.clone(), peek.clone(), request));
         let connection = http1::Builder::new()
-            // `keep_limits` has the time: hyper's would run between requests too.
+            // `enforce_timeouts` applies the time limit: hyper's timeout would also run between
+            // requests.
             .header_read_timeout(None)
             .max_buf_size(MAX_HEAD_BYTES)
             .serve_connection(TokioIo::new(stream), service);
-        // hyper's half of it goes at the end of this block, and a flow that is open on it is told by its guard.
+        // hyper's half of the stream is dropped at the end of this block; the guard of an open flow
+        // then reports the departure.
         {
             let mut connection = pin!(connection);
             let reason = loop {
                 tokio::select! {
                     biased;
                     _ = connection.as_mut() => {
-                        break if slot.answered_last.get() { CloseReason::Answered } else { CloseReason::Client };
+                        break if slot.last_answer_given.get() { CloseReason::Answered } else { CloseReason::Client };
                     }
                     () = client_stream.wait_for_departure(&slot.incoming, || slot.open_flow.get().is_some()) => {
                         break CloseReason::Departed;
@@ -309,12 +325,12 @@
             };
             self.gateway.client_closed(reason, slot.open_flow.get());
         }
-        // Half a request, or one that was turned away unread, has its rest still to come.
+        // The rest of a partial request, or of one rejected before it was read, is still to arrive.
         if slot.may_have_unread_input.get() || slot.incoming.started_at().is_some() {
             tokio::select! {
                 biased;
                 _ = tokio::time::timeout(duration_from_ms(LINGER_TIMEOUT_MS), client_stream.shutdown_and_drain()) => {}
-                // Its place is wanted.
+                // The socket is needed for another client.
                 () = slot.wait_for_close_request() => {}
             }
         }
@@ -332,7 +348,8 @@
         slot.idle_since.set(None);
         slot.had_request.set(true);
         let mut reply = match request.uri().path() {
-            // The one that counts depends on the reader, and a body that ends early hides a request.
+            // Which of the two headers counts depends on the reader, and a body that ends early for
+            // one of them hides another request.
             _ if slot.incoming.framing() == Some(Framing::Both) => {
                 let reason = "both Content-Length and Transfer-Encoding";
                 self.reject(&slot, Malformed { status: StatusCode::BAD_REQUEST, reason })
@@ -348,13 +365,14 @@
                 flow.unwrap_or_else(|malformed| self.reject(&slot, malformed))
             }
         };
-        // What came behind this request would be read unseen; a client that means it asks again.
+        // Bytes after this request would be read without inspection, so the connection ends; a
+        // client that meant them as a request sends it again.
         let no_trailing_bytes = slot.incoming.has_no_trailing_bytes();
         slot.may_have_unread_input.set(slot.may_have_unread_input.get() || !no_trailing_bytes);
         if !no_trailing_bytes || slot.close_requested.get() || self.phase.get() == Phase::Closing {
             end_connection(&mut reply);
         }
-        slot.answered_last.set(reply.headers().contains_key(CONNECTION));
+        slot.last_answer_given.set(reply.headers().contains_key(CONNECTION));
         slot.incoming.reset();
         slot.idle_since.set(Some(self.gateway.now()));
         Ok(reply)
@@ -376,7 +394,7 @@
         let too_large = Malformed { status: StatusCode::PAYLOAD_TOO_LARGE, reason: "the body is too large" };
         let (parts, body) = request.into_parts();
         let mut new = self.gateway.classes.read(&parts)?;
-        // The client's time counts from its sending.
+        // The client's time limit counts from the moment of sending.
         new.time_left -=
             slot.read_delay.take().max(self.event_loop_lag.possible_read_delay(self.gateway.now()));
         if oversized(&parts.headers) {
@@ -401,14 +419,14 @@
             })?;
         let guard = FlowGuard { gateway: self.gateway.clone(), id };
         slot.open_flow.set(Some(id));
-        // Routing answers every flow that it took; an answer that never comes is a failure all the same.
+        // Routing answers every flow that it accepted; a missing answer is a failure all the same.
         let answer = answer.await.unwrap_or(roseproxy_routing::flow::Answer::Failed);
         slot.open_flow.set(None);
         drop(guard);
         Ok(to_client(answer))
     }
 
-    /// Goes on to the next phase of the end.
+    /// Moves on to the given phase of shutdown.
     pub fn set_phase(&self, phase: Phase) {
         self.phase.set(phase);
         if phase == Phase::Closing {
@@ -416,14 +434,15 @@
         }
     }
 
-    /// Whether nothing is left to do: no connection, none that waits for a place, and none for this long (ms).
+    /// Whether there is nothing left to do: no open connection, none waiting to be accepted or for
+    /// a permit, and none accepted for `millis`.
     pub fn is_idle_for(&self, millis: f64) -> bool {
-        let none = self.acceptor.is_waiting() && self.slots.borrow().is_empty();
-        none && self.gateway.now() - self.accepted_at.get() >= millis
+        let no_connections = self.acceptor.is_waiting() && self.slots.borrow().is_empty();
+        no_connections && self.gateway.now() - self.accepted_at.get() >= millis
     }
 }
 
-/// Tells routing when the client of a flow leaves: hyper then drops the request's future.
+/// Reports to routing that the client of a flow has left: hyper then drops the request's future.
 struct FlowGuard<N: Network> {
     gateway: Rc<Gateway<N>>,
     id: FlowId,
--- a/crates/transport/src/network.rs
+++ b/crates/transport/src/network.rs
@@ -1,7 +1,8 @@
-//! The narrow seam below the transport: how streams come into being, and what waits to be read on one.
+//! The interface to the network: how streams are opened and accepted, and what waits to be read on
+//! them.
 //!
-//! Everything above it is generic in [`Network`], so that the program on real sockets pays nothing for
-//! it, and a world in virtual time can stand below the very same listener, pool and watch.
+//! Everything else in the crate is generic over [`Network`], so it costs nothing on real sockets,
+//! and a simulation in virtual time can run the same listener, pool and discovery watch.
 
 use super::retrying_stream::is_resource_shortage;
 use super::write_progress::SharedTcpStream;
@@ -17,41 +18,41 @@
 /// What waits to be read on a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeekResult {
-    /// Nothing, and more may come.
+    /// No data; more may arrive.
     Empty,
-    /// Bytes; whether the other end has closed behind them is not known.
+    /// Data; it is unknown whether the peer has closed the stream after it.
     Data,
-    /// The end: the other side has closed it, or it broke.
+    /// The end of the stream: the peer has closed it, or it failed.
     Closed,
 }
 
-/// Looks at what waits to be read on a stream, without reading it.
+/// Inspects what waits to be read on a stream without reading it.
 pub type Peek = Rc<dyn Fn() -> PeekResult>;
 
-/// Where streams come from.
+/// A source of streams.
 pub trait Network: Clone + 'static {
-    /// A place where clients connect.
+    /// A listening socket.
     type Listener: 'static;
-    /// A client's stream.
+    /// The stream of an accepted client.
     type AcceptedStream: AsyncRead + AsyncWrite + Unpin + 'static;
     /// A stream to a target or to discovery.
     type ConnectedStream: AsyncRead + AsyncWrite + Unpin + 'static;
 
-    /// Begins to listen.
+    /// Starts listening on an address.
     fn listen(&self, address: SocketAddr) -> impl Future<Output = io::Result<Self::Listener>>;
 
-    /// Waits for the next client; with what looks at its stream.
+    /// Waits for the next client; returns its stream and a function that inspects it.
     fn accept(
         &self,
         listener: &Self::Listener,
     ) -> impl Future<Output = io::Result<(Self::AcceptedStream, Peek)>>;
 
-    /// Opens a stream, with what looks at it.
+    /// Opens a stream; returns it with a function that inspects it.
     fn connect(&self, address: SocketAddr)
         -> impl Future<Output = io::Result<(Self::ConnectedStream, Peek)>>;
 }
 
-/// The system's sockets.
+/// TCP sockets of the operating system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tcp;
 
@@ -66,7 +67,7 @@
 
     async fn accept(&self, listener: &TcpListener) -> io::Result<(SharedTcpStream, Peek)> {
         let (stream, _) = listener.accept().await?;
-        // Without it answers only come later; the connection is good all the same.
+        // Without the option answers are only delayed; the connection is usable all the same.
         let _ = stream.set_nodelay(true);
         Ok(shared(stream))
     }
@@ -78,7 +79,7 @@
     }
 }
 
-/// A stream, and what asks the system about it.
+/// Wraps a stream and returns it with a function that inspects its socket.
 fn shared(stream: TcpStream) -> (SharedTcpStream, Peek) {
     let stream = Rc::new(stream);
     let peeked = stream.clone();
@@ -86,7 +87,7 @@
         match SockRef::from(&*peeked).peek(&mut [MaybeUninit::uninit()]) {
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) if e.kind() == ErrorKind::WouldBlock => return PeekResult::Empty,
-            // Not known, so that nothing is concluded from it.
+            // The state is unknown, so no conclusion must be drawn from it.
             Err(e) if is_resource_shortage(&e) => return PeekResult::Data,
             Ok(0) | Err(_) => return PeekResult::Closed,
             Ok(_) => return PeekResult::Data,
--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to targets, kept for the next request: a handshake costs both sides.
+//! Pool of idle connections to targets, kept for reuse because a handshake costs both sides.
 
 use super::budget::Permit;
 use super::connection::{Connection, ConnectionState};
@@ -6,48 +6,52 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Share of the platform's idle time after which this side closes first: a request must never meet
-/// the other side's close.
+/// Share of the platform's idle timeout after which this side closes a connection: a request must
+/// never cross a close by the other side.
 const IDLE_TIMEOUT_SHARE: f64 = 0.6;
 
-/// How long a connection rests after an answer before it carries the next request (ms). A spoilt answer may be followed by
-/// a second one some milliseconds late; behind a request written meanwhile nothing tells it from the answer to that.
+/// How long a connection stays unused after an answer before it carries the next request. A
+/// malformed answer may be followed by a second one some milliseconds later; if a request were
+/// written in between, the second answer could not be told from the answer to that request.
 pub const REUSE_DELAY_MS: f64 = 20.0;
 
-/// An open connection with its place in the budget.
+/// An open connection together with its permit in the socket budget.
 #[derive(Debug)]
 pub struct PooledConnection {
-    /// The connection.
+    /// The connection itself.
     pub connection: Connection,
-    /// Where it leads.
+    /// The address it is connected to.
     pub address: SocketAddr,
-    /// Its descriptor.
+    /// The permit for its descriptor.
     pub permit: Permit,
 }
 
-/// The idle connections.
+/// The idle connections, by target.
 #[derive(Debug)]
 pub struct Pool {
-    /// In a fixed order, so that equal runs close them in the same one.
+    /// Each with the time since which it has been idle, oldest first. Ordered by target so that
+    /// equal runs close connections in the same order.
     idle: BTreeMap<ServerId, Vec<(f64, PooledConnection)>>,
     max_idle_ms: f64,
 }
 
 impl Pool {
-    /// A pool for targets that close idle connections after so many milliseconds.
+    /// Creates a pool for targets that close idle connections after `target_idle_timeout_ms`.
     pub fn new(target_idle_timeout_ms: f64) -> Pool {
         Pool { idle: BTreeMap::new(), max_idle_ms: target_idle_timeout_ms * IDLE_TIMEOUT_SHARE }
     }
 
-    /// The connection to a target that was used last, of those that have rested, so that those not needed grow old.
+    /// Takes the most recently used connection to a target among those past the reuse delay, so
+    /// that surplus connections expire.
     pub fn take(&mut self, now: f64, target: ServerId, address: SocketAddr) -> Option<PooledConnection> {
         let connections = self.idle.get_mut(&target)?;
-        let mut rested = connections.partition_point(|(idle_since, _)| now - idle_since >= REUSE_DELAY_MS);
-        while rested > 0 {
-            rested -= 1;
-            let (idle_since, pooled) = connections.remove(rested);
+        let mut reusable = connections.partition_point(|(idle_since, _)| now - idle_since >= REUSE_DELAY_MS);
+        while reusable > 0 {
+            reusable -= 1;
+            let (idle_since, pooled) = connections.remove(reusable);
             let not_expired = now - idle_since < self.max_idle_ms;
-            // One that the target closed, or that leads to where it stood before, is of no use.
+            // A connection that the target closed, or that leads to a former address of the target,
+            // is discarded.
             if not_expired && pooled.address == address && pooled.connection.state() == ConnectionState::Idle
             {
                 return Some(pooled);
@@ -56,12 +60,12 @@
         None
     }
 
-    /// Keeps a connection for later.
+    /// Adds an idle connection to the pool.
     pub fn put(&mut self, now: f64, target: ServerId, pooled: PooledConnection) {
         self.idle.entry(target).or_default().push((now, pooled));
     }
 
-    /// Closes those that have stood idle for long, or that the target has closed.
+    /// Closes connections that have been idle for too long or that the target has closed.
     pub fn close_expired(&mut self, now: f64) {
         let max_idle_ms = self.max_idle_ms;
         self.idle.retain(|_, connections| {
@@ -72,12 +76,13 @@
         });
     }
 
-    /// Closes those to one target.
+    /// Closes all idle connections to one target.
     pub fn close_target(&mut self, target: ServerId) {
         self.idle.remove(&target);
     }
 
-    /// Closes the one idle longest, to free its descriptor; false where there is none.
+    /// Closes the connection that has been idle longest to free its descriptor; returns false if
+    /// the pool is empty.
     pub fn evict_oldest(&mut self) -> bool {
         let oldest = |connections: &Vec<(f64, PooledConnection)>| {
             connections.first().map_or(f64::INFINITY, |(idle_since, _)| *idle_since)
@@ -90,12 +95,12 @@
         true
     }
 
-    /// How many there are.
+    /// The number of idle connections.
     pub fn len(&self) -> usize {
         self.idle.values().map(Vec::len).sum()
     }
 
-    /// Whether there is none.
+    /// Whether the pool is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/transport/src/request_framing.rs
+++ b/crates/transport/src/request_framing.rs
@@ -1,59 +1,61 @@
-//! What comes in on a client's connection, seen before hyper reads it.
+//! Inspects the bytes of a client's connection before hyper reads them, to find how each request is
+//! framed.
 //!
-//! hyper drops a `Content-Length` that stands beside a `Transfer-Encoding` and goes by the latter, so a
-//! service cannot tell that there were both; and it says nothing of a head that has only begun.
+//! If a request has both a `Content-Length` and a `Transfer-Encoding`, hyper drops the former and
+//! uses the latter, so a service cannot tell that both were present. hyper also does not report a
+//! head that has only partly arrived.
 
 use super::tap::Tap;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// How a request says where its body ends.
+/// How a request states where its body ends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Framing {
-    /// By a length; 0 where none is stated.
+    /// By its length; 0 if none is stated.
     Length(u64),
-    /// By chunks.
+    /// By chunked or another transfer encoding.
     #[default]
     Chunked,
     /// By both, which may hide another request in the body.
     Both,
 }
 
-/// The request that comes in, as its bytes arrive.
+/// The request being received, tracked as its bytes arrive.
 #[derive(Debug, Default)]
 pub(super) struct IncomingRequest {
-    /// Since when its first byte is there.
+    /// When its first byte arrived.
     started_at: Cell<Option<f64>>,
-    /// Its head, until that is whole.
+    /// Its head until that is complete.
     head: RefCell<Vec<u8>>,
     framing: Cell<Option<Framing>>,
-    /// Bytes that came behind its head.
+    /// Number of bytes received after its head.
     bytes_after_head: Cell<u64>,
 }
 
 impl IncomingRequest {
-    /// Since when a request has begun to come.
+    /// When the current request began to arrive.
     pub fn started_at(&self) -> Option<f64> {
         self.started_at.get()
     }
 
-    /// How the request is framed, once its head is there.
+    /// How the request is framed, once its head is complete.
     pub fn framing(&self) -> Option<Framing> {
         self.framing.get()
     }
 
-    /// Whether it is sure that nothing came behind the request: only then may the next one be read, as
-    /// it would pass unseen.
+    /// Whether it is certain that nothing was received after the request. Only then may the next
+    /// request be read, as bytes after this one would pass without inspection.
     pub fn has_no_trailing_bytes(&self) -> bool {
         matches!(self.framing.get(), Some(Framing::Length(length)) if self.bytes_after_head.get() <= length)
     }
 
-    /// So many bytes came behind the request, which nobody will read.
+    /// Counts bytes received after the request that were discarded.
     pub fn add_discarded(&self, count: usize) {
         self.bytes_after_head.set(self.bytes_after_head.get().saturating_add(count as u64));
     }
 
-    /// Waits for the next request.
+    /// Prepares for the next request.
     pub fn reset(&self) {
         self.started_at.set(None);
         self.head.borrow_mut().clear();
@@ -67,20 +69,20 @@
         }
         self.started_at.set(self.started_at.get().or(Some(now)));
         let mut head = self.head.borrow_mut();
-        // Against a head without end; hyper turns it away.
+        // Guards against an endless head; hyper rejects it.
         let room = (limit + 1).saturating_sub(head.len());
         head.extend_from_slice(&bytes[..bytes.len().min(room)]);
         if let Some((end, framing)) = parse_head(&head) {
             self.bytes_after_head.set((head.len() - end + bytes.len().saturating_sub(room)) as u64);
             self.framing.set(Some(framing));
-            // Given back: an idle connection must not hold what a large head needed.
+            // Frees the buffer: an idle connection must not keep the memory of a large head.
             *head = Vec::new();
         }
     }
 }
 
-/// Where a head ends and how it frames its body; `None` until it is whole. As loose on line ends as
-/// hyper is.
+/// Returns where a head ends and how it frames its body, or `None` until it is complete. Accepts
+/// the same line endings as hyper.
 fn parse_head(head: &[u8]) -> Option<(usize, Framing)> {
     let (mut offset, mut has_request_line) = (0, false);
     let (mut length, mut has_transfer_encoding) = (None, false);
@@ -102,18 +104,18 @@
         if name.eq_ignore_ascii_case(b"transfer-encoding") {
             has_transfer_encoding = true;
         } else if name.eq_ignore_ascii_case(b"content-length") {
-            // What is no number is hyper's to turn away.
+            // hyper rejects values that are not a number.
             length = Some(std::str::from_utf8(value).ok().and_then(|v| v.trim().parse().ok()).unwrap_or(0));
         }
     }
     None
 }
 
-/// Looks at what comes in on a client's stream.
+/// Feeds the bytes received on a client's stream to an [`IncomingRequest`].
 pub(super) struct RequestTap {
     pub incoming: Rc<IncomingRequest>,
     pub now: roseproxy_routing::time::Now,
-    /// Longest head that is read.
+    /// Longest head that is read (bytes).
     pub limit: usize,
 }
 
@@ -128,7 +130,7 @@
     use super::*;
 
     #[test]
-    fn a_head_is_read_as_it_comes_and_as_loosely_as_hyper_does() {
+    fn head_is_parsed_incrementally_with_hypers_line_endings() {
         let whole = |text: &str| parse_head(text.as_bytes()).map(|(_, framing)| framing);
         assert_eq!(whole("POST / HTTP/1.1\r\nContent-Length: 3\r\n"), None);
         assert_eq!(whole("POST / HTTP/1.1\r\ncontent-LENGTH: 3\r\n\r\nabc"), Some(Framing::Length(3)));
@@ -142,7 +144,7 @@
     }
 
     #[test]
-    fn what_comes_behind_a_request_is_seen() {
+    fn bytes_after_a_request_are_detected() {
         let incoming = IncomingRequest::default();
         incoming.feed(5.0, b"POST / HTTP/1.1\r\nContent-Length: 3\r\n", 1000);
         assert_eq!((incoming.started_at(), incoming.framing()), (Some(5.0), None));
--- a/crates/transport/src/retrying_stream.rs
+++ b/crates/transport/src/retrying_stream.rs
@@ -1,5 +1,5 @@
-//! A stream whose calls are made again where their error says nothing of the connection: a signal interrupted them, or
-//! the system had no memory or no buffer for them just then.
+//! A stream that retries calls whose error says nothing about the connection: a signal interrupted
+//! the call, or the system momentarily lacked memory or buffers.
 
 use super::duration_from_ms;
 use super::errno::{ENOBUFS, ENOMEM};
@@ -10,39 +10,41 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{sleep, Sleep};
 
-/// How long a call rests that failed for want of something (ms), and how often in a row it is made again.
+/// Delay before a call is retried that failed for lack of a resource.
 const RETRY_DELAY_MS: f64 = 2.0;
+/// Retries in a row before such an error is returned.
 const MAX_RETRIES: u32 = 250;
 
-/// Whether an error says that the system is short of something for a moment.
+/// Whether an error reports a momentary shortage of system resources.
 pub(super) fn is_resource_shortage(error: &io::Error) -> bool {
     matches!(error.raw_os_error(), Some(ENOBUFS | ENOMEM))
 }
 
-/// The stream.
+/// The retrying stream.
 #[derive(Debug)]
 pub(super) struct RetryingStream<S> {
     stream: S,
-    reads: Retry,
-    writes: Retry,
+    reads: RetryState,
+    writes: RetryState,
 }
 
 impl<S> RetryingStream<S> {
     pub fn new(stream: S) -> RetryingStream<S> {
-        RetryingStream { stream, reads: Retry::default(), writes: Retry::default() }
+        RetryingStream { stream, reads: RetryState::default(), writes: RetryState::default() }
     }
 }
 
-/// The calls of one direction that failed in a row.
+/// Retry state of one direction, for calls that failed in a row.
 #[derive(Debug, Default)]
-struct Retry {
+struct RetryState {
     delay: Option<Pin<Box<Sleep>>>,
     retries: u32,
 }
 
-impl Retry {
-    /// Makes a call until it succeeds, waits, or fails for a reason of its connection.
-    fn call<T>(
+impl RetryState {
+    /// Repeats a call until it succeeds, is pending, or fails for a reason that concerns the
+    /// connection.
+    fn retry<T>(
         &mut self,
         cx: &mut Context<'_>,
         mut call: impl FnMut(&mut Context<'_>) -> Poll<io::Result<T>>,
@@ -74,14 +76,14 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let RetryingStream { stream, reads, .. } = &mut *self;
-        reads.call(cx, |cx| Pin::new(&mut *stream).poll_read(cx, buf))
+        reads.retry(cx, |cx| Pin::new(&mut *stream).poll_read(cx, buf))
     }
 }
 
 impl<S: AsyncWrite + Unpin> AsyncWrite for RetryingStream<S> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let RetryingStream { stream, writes, .. } = &mut *self;
-        writes.call(cx, |cx| Pin::new(&mut *stream).poll_write(cx, buf))
+        writes.retry(cx, |cx| Pin::new(&mut *stream).poll_write(cx, buf))
     }
 
     fn poll_write_vectored(
@@ -90,7 +92,7 @@
         bufs: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let RetryingStream { stream, writes, .. } = &mut *self;
-        writes.call(cx, |cx| Pin::new(&mut *stream).poll_write_vectored(cx, bufs))
+        writes.retry(cx, |cx| Pin::new(&mut *stream).poll_write_vectored(cx, bufs))
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -99,11 +101,11 @@
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let RetryingStream { stream, writes, .. } = &mut *self;
-        writes.call(cx, |cx| Pin::new(&mut *stream).poll_flush(cx))
+        writes.retry(cx, |cx| Pin::new(&mut *stream).poll_flush(cx))
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let RetryingStream { stream, writes, .. } = &mut *self;
-        writes.call(cx, |cx| Pin::new(&mut *stream).poll_shutdown(cx))
+        writes.retry(cx, |cx| Pin::new(&mut *stream).poll_shutdown(cx))
     }
 }
--- a/crates/transport/src/tap.rs
+++ b/crates/transport/src/tap.rs
@@ -1,26 +1,26 @@
-//! A stream that is looked at as its bytes pass: what came in on it, what may go out, and what the
-//! other side of it has taken.
+//! A stream wrapper that observes the bytes received, controls whether bytes may be written, and
+//! observes the bytes that the underlying stream has accepted.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
 use std::task::{ready, Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Who looks.
+/// Observes a stream.
 pub(super) trait Tap: Unpin {
-    /// These bytes came in, one at least.
+    /// Called with bytes that were received; never empty.
     fn on_read(&mut self, _bytes: &[u8]) {}
 
-    /// Whether anything may be written now; the stream breaks else.
+    /// Whether anything may be written now; if not, the write fails and the stream breaks.
     fn may_write(&mut self) -> bool {
         true
     }
 
-    /// So many bytes were taken.
+    /// Called with the number of bytes that were written.
     fn on_written(&mut self, _count: usize) {}
 }
 
-/// A stream with who looks at it.
+/// A stream with its observer.
 #[derive(Debug)]
 pub(super) struct TappedStream<S, T> {
     stream: S,
--- a/crates/transport/src/write_progress.rs
+++ b/crates/transport/src/write_progress.rs
@@ -1,4 +1,5 @@
-//! Byte accounting: how much of a request the socket has taken.
+//! Write accounting: how much of a request the socket has accepted. Also the TCP stream shared
+//! between hyper and whatever inspects the socket.
 
 use super::tap::Tap;
 use socket2::SockRef;
@@ -10,26 +11,27 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// How far a request has gone out.
+/// Points in the writing of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WriteStage {
-    /// Its first byte.
+    /// Its first byte has been written.
     FirstByte,
-    /// Its last byte.
+    /// Its last byte has been written.
     LastByte,
 }
 
-/// Who answers for the writing of a request.
+/// Controls and observes the writing of a request.
 pub(super) trait WriteObserver {
-    /// Asked right before each write, until the request is whole: whether it may go on. What was checked before may not hold
-    /// any more, as the connection's own task writes, maybe after a pause.
+    /// Asked right before each write until the request is complete: whether the writing may
+    /// continue. Earlier checks may no longer hold, as the connection's own task does the writing,
+    /// possibly after a pause.
     fn may_write(&self) -> bool;
 
-    /// A milestone was passed.
-    fn on_stage(&self, milestone: WriteStage);
+    /// Called when a stage has been reached.
+    fn on_stage(&self, stage: WriteStage);
 }
 
-/// The request that is going out, by the counts at which it passes its milestones.
+/// The request being written, with the counts of written bytes at which it begins and is complete.
 struct TrackedRequest {
     start: u64,
     end: u64,
@@ -37,7 +39,7 @@
     observer: Rc<dyn WriteObserver>,
 }
 
-/// Bytes that a connection has written; shared with whoever asks.
+/// Number of bytes that a connection has written; clones share the count.
 #[derive(Clone, Default)]
 pub(super) struct WriteProgress(Rc<State>);
 
@@ -52,7 +54,7 @@
         self.0.written.get()
     }
 
-    /// Has `writing` answer for the next request, which takes so many bytes.
+    /// Lets `observer` control the writing of the next request, which has `length` bytes.
     pub fn track(&self, length: u64, observer: Rc<dyn WriteObserver>) {
         let start = self.written();
         let tracked = TrackedRequest { start, end: start + length, first_byte_written: false, observer };
@@ -60,10 +62,11 @@
     }
 }
 
-/// What the socket takes counts; what hyper has buffered does not, and what it says of an error is not asked.
+/// Counts what the socket has accepted. Bytes buffered by hyper do not count, and hyper's errors
+/// are not consulted.
 impl Tap for WriteProgress {
     fn may_write(&mut self) -> bool {
-        // Let go of first: who is asked may end the attempt.
+        // Clone the observer first to release the borrow: the observer may end the attempt.
         let observer = self.0.tracked.borrow().as_ref().map(|tracked| tracked.observer.clone());
         observer.is_none_or(|observer| observer.may_write())
     }
@@ -83,7 +86,7 @@
     }
 }
 
-/// A stream that can be asked while another holds it.
+/// A TCP stream that can be inspected while another owner uses it.
 #[derive(Debug)]
 pub struct SharedTcpStream(pub(super) Rc<TcpStream>);
 
@@ -96,7 +99,7 @@
                     buf.advance(read);
                     return Poll::Ready(Ok(()));
                 }
-                // It was not ready after all: the next round waits.
+                // The readiness was spurious: the next round waits again.
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
                 Err(e) => return Poll::Ready(Err(e)),
             }
@@ -143,7 +146,7 @@
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         let result = SockRef::from(&*self.0).shutdown(std::net::Shutdown::Write);
-        // One that the other side has closed already needs none.
+        // If the peer has closed the connection already, no shutdown is needed.
         Poll::Ready(result.or_else(|e| if e.kind() == io::ErrorKind::NotConnected { Ok(()) } else { Err(e) }))
     }
 }
--- a/crates/transport/tests/budget.rs
+++ b/crates/transport/tests/budget.rs
@@ -1,9 +1,9 @@
-//! How the descriptors are shared out.
+//! Tests how the descriptors are divided between clients and targets.
 
 use roseproxy_transport::budget::{Budget, RESERVED_DESCRIPTORS};
 
 #[test]
-fn clients_get_the_third_that_the_platform_lets_them_hold() {
+fn clients_get_more_than_the_third_that_they_may_hold() {
     for sockets in [64, 96, 128, 256, 1024, 4096] {
         let (clients, targets) = Budget::split(sockets);
         assert!(clients.limit() > sockets / 3, "{sockets}: {}", clients.limit());
--- a/crates/transport/tests/connection.rs
+++ b/crates/transport/tests/connection.rs
@@ -1,4 +1,4 @@
-//! A model of a target connection's states, against which the real connection code takes random steps.
+//! Compares a target connection with a model of its states under random sequences of steps.
 
 use bytes::Bytes;
 use hyper::header::{HeaderValue, CONTENT_LENGTH, HOST};
@@ -11,27 +11,27 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream};
 use tokio::task::{spawn_local, yield_now, JoinHandle};
 
-/// What the pipe between the two ends holds: small, so that requests are written in parts.
-const PIPE: u64 = 48;
+/// Capacity of the pipe between the two ends: small, so that requests are written in parts.
+const PIPE_CAPACITY_BYTES: u64 = 48;
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Send a request with a body so long.
+    /// Send a request with a body of this length.
     Send(u8),
-    /// The target reads so many bytes.
+    /// The target reads this many bytes.
     Read(u8),
-    /// The target answers whole, also where nobody asked.
+    /// The target sends a complete answer, also without a request.
     Answer,
-    /// The target answers whole, and more comes right behind.
-    Surplus(u8),
-    /// The target answers what cannot be served; its connection stays open.
-    Spoilt(u8),
-    /// The target breaks off inside of its answer.
-    Half,
-    /// The target closes.
+    /// The target sends a complete answer, immediately followed by further bytes.
+    AnswerWithTrailingBytes(u8),
+    /// The target sends an answer that cannot be served; its connection stays open.
+    MalformedAnswer(u8),
+    /// The target breaks off in the middle of its answer.
+    PartialAnswer,
+    /// The target closes the connection.
     Close,
-    /// The client behind the request leaves, or its time is over: the request is given up.
-    Leave,
+    /// The request is abandoned because its client has left or its time is over.
+    Abandon,
 }
 
 impl Arbitrary for Step {
@@ -40,21 +40,21 @@
             0..=3 => Step::Send(u8::arbitrary(g)),
             4..=7 => Step::Read(u8::arbitrary(g)),
             8 | 9 => Step::Answer,
-            10 => Step::Half,
-            11 => Step::Surplus(u8::arbitrary(g)),
-            12 => Step::Spoilt(u8::arbitrary(g)),
-            13 => Step::Leave,
+            10 => Step::PartialAnswer,
+            11 => Step::AnswerWithTrailingBytes(u8::arbitrary(g)),
+            12 => Step::MalformedAnswer(u8::arbitrary(g)),
+            13 => Step::Abandon,
             _ => Step::Close,
         }
     }
 }
 
 const OK: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
-/// What may come behind an answer: a second copy of it, noise, the begin of a head.
-const BEHIND: [&str; 3] = [OK, "\0\u{1}noise\r\n\r\n", "HTTP/1.1 "];
-/// Answers that cannot be served: no head, a length that is none, lengths that differ, a body far too
-/// large, another protocol, chunks that are none.
-const SPOILT: [&str; 6] = [
+/// Bytes that may follow an answer: a second copy of it, noise, the beginning of a head.
+const TRAILING_BYTES: [&str; 3] = [OK, "\0\u{1}noise\r\n\r\n", "HTTP/1.1 "];
+/// Answers that cannot be served: no head, an invalid length, conflicting lengths, a body that is
+/// far too large, a protocol switch, invalid chunks.
+const MALFORMED_ANSWERS: [&str; 6] = [
     "\0\u{1}\u{2}noise\r\n\r\n",
     "HTTP/1.1 200 OK\r\ncontent-length: -2\r\n\r\nok",
     "HTTP/1.1 200 OK\r\ncontent-length: 2\r\ncontent-length: 3\r\n\r\nok",
@@ -70,24 +70,24 @@
     Closed,
 }
 
-struct Real {
-    /// Away while a request is on it.
+struct RealConnection {
+    /// `None` while a request is in progress.
     connection: Option<Connection>,
-    running: Option<JoinHandle<(Connection, ExchangeResult)>>,
+    exchange_task: Option<JoinHandle<(Connection, ExchangeResult)>>,
     peer: Option<DuplexStream>,
 }
 
-async fn quiet() {
+async fn run_pending_tasks() {
     for _ in 0..40 {
         yield_now().await;
     }
 }
 
-impl Real {
-    async fn new() -> Real {
-        let (near, far) = tokio::io::duplex(PIPE as usize);
+impl RealConnection {
+    async fn new() -> RealConnection {
+        let (near, far) = tokio::io::duplex(PIPE_CAPACITY_BYTES as usize);
         let connection = Connection::start(near, Rc::new(|| PeekResult::Empty)).await.expect("a fresh pipe");
-        Real { connection: Some(connection), running: None, peer: Some(far) }
+        RealConnection { connection: Some(connection), exchange_task: None, peer: Some(far) }
     }
 
     fn send(&mut self, body: u8) -> u64 {
@@ -97,14 +97,14 @@
         let outgoing = outgoing.to_target(480.0);
         assert!(outgoing.request.headers().contains_key(CONTENT_LENGTH));
         let (length, mut connection) = (outgoing.length, self.connection.take().expect("idle"));
-        self.running = Some(spawn_local(async move {
+        self.exchange_task = Some(spawn_local(async move {
             let exchange = connection.exchange(outgoing).await;
             (connection, exchange)
         }));
         length
     }
 
-    /// Reads exactly so many bytes; a pipe that has fewer is an error of the count.
+    /// Reads exactly this many bytes; fewer bytes in the pipe mean that the model counted wrongly.
     async fn read(&mut self, bytes: u64) -> bool {
         let mut buffer = vec![0; bytes as usize];
         self.peer.as_mut().expect("open").read_exact(&mut buffer).await.is_ok()
@@ -112,24 +112,24 @@
 
     async fn write(&mut self, text: &[u8]) {
         let peer = self.peer.as_mut().expect("open");
-        // It may close in the middle of what it has no use for.
+        // The connection may close in the middle of bytes that it has no use for.
         let _ = peer.write_all(text).await;
     }
 
-    /// The exchange's end, where it has ended; the connection is back then.
-    async fn ended(&mut self) -> Option<ExchangeResult> {
-        if !self.running.as_ref()?.is_finished() {
+    /// The result of the exchange if it has ended; the connection is available again then.
+    async fn take_result(&mut self) -> Option<ExchangeResult> {
+        if !self.exchange_task.as_ref()?.is_finished() {
             return None;
         }
-        let (connection, exchange) = self.running.take()?.await.expect("no panic");
+        let (connection, exchange) = self.exchange_task.take()?.await.expect("the exchange does not panic");
         self.connection = Some(connection);
         Some(exchange)
     }
 }
 
-async fn step(model: Model, real: &mut Real, step: &Step) -> Result<Model, String> {
-    let wrong = |what: &str| Err(format!("{what} at {model:?} on {step:?}"));
-    let whole = |length: u64, read: u64| read + PIPE >= length;
+async fn step(model: Model, real: &mut RealConnection, step: &Step) -> Result<Model, String> {
+    let mismatch = |what: &str| Err(format!("{what} at {model:?} on {step:?}"));
+    let fully_written = |length: u64, read: u64| read + PIPE_CAPACITY_BYTES >= length;
     match (model, step) {
         (Model::Closed, _) | (Model::Busy { .. }, Step::Send(_)) | (Model::Idle, Step::Read(_)) => Ok(model),
         (Model::Idle, Step::Send(body)) => {
@@ -137,71 +137,79 @@
             Ok(Model::Busy { length, read: 0 })
         }
         (Model::Busy { length, read }, Step::Read(n)) => {
-            // Often to the brink: one byte short of the whole request's being written, or just not.
-            let brink = (length + u64::from(*n & 1)).saturating_sub(PIPE + 1 + read);
-            let bytes = if *n >= 160 { brink } else { u64::from(*n).min(length - read) };
+            // Often stops at the boundary: the request is fully written, or one byte short of it.
+            let boundary = (length + u64::from(*n & 1)).saturating_sub(PIPE_CAPACITY_BYTES + 1 + read);
+            let bytes = if *n >= 160 { boundary } else { u64::from(*n).min(length - read) };
             match real.read(bytes).await {
                 true => Ok(Model::Busy { length, read: read + bytes }),
-                false => wrong("too few bytes"),
+                false => mismatch("fewer bytes than expected"),
             }
         }
-        // What is given up closes its connection, whatever is on it: the target sees the end and no other request.
-        (Model::Busy { .. }, Step::Leave) => {
-            let Some(running) = real.running.take() else { return wrong("nothing runs") };
-            running.abort();
-            quiet().await;
+        // Abandoning a request closes its connection whatever its state: the target sees the end of
+        // the stream and no other request.
+        (Model::Busy { .. }, Step::Abandon) => {
+            let Some(exchange_task) = real.exchange_task.take() else {
+                return mismatch("no exchange in progress");
+            };
+            exchange_task.abort();
+            run_pending_tasks().await;
             let mut rest = Vec::new();
             match real.peer.as_mut().expect("open").read_to_end(&mut rest).await {
-                Ok(_) if running.is_finished() => Ok(Model::Closed),
-                other => wrong(&format!("no end but {other:?}")),
+                Ok(_) if exchange_task.is_finished() => Ok(Model::Closed),
+                other => mismatch(&format!("expected the end of the stream, got {other:?}")),
             }
         }
-        (Model::Idle, Step::Leave) => Ok(model),
-        // An answer to a request that is not written whole belongs to nothing, and what is not whole never runs.
-        (Model::Busy { length, read }, Step::Answer) if !whole(length, read) => {
+        (Model::Idle, Step::Abandon) => Ok(model),
+        // An early answer to a request that is not fully written is not its answer, and an
+        // incomplete request never runs.
+        (Model::Busy { length, read }, Step::Answer) if !fully_written(length, read) => {
             real.write(OK.as_bytes()).await;
-            quiet().await;
-            match real.ended().await {
+            run_pending_tasks().await;
+            match real.take_result().await {
                 Some(ExchangeResult::Broken { last_byte_written: false }) => {
                     real.connection = None;
                     Ok(Model::Closed)
                 }
-                other => wrong(&format!("an early answer is {other:?}")),
+                other => mismatch(&format!("an early answer must break the exchange, got {other:?}")),
             }
         }
-        // Before the whole request has come there is nothing to answer.
-        (Model::Busy { length, read }, Step::Answer | Step::Half | Step::Surplus(_) | Step::Spoilt(_))
-            if read < length =>
-        {
-            Ok(model)
-        }
-        (Model::Busy { .. }, Step::Answer | Step::Surplus(_)) => {
-            let (behind, after) = match step {
-                Step::Surplus(n) => (BEHIND[usize::from(*n) % BEHIND.len()], Model::Closed),
+        // There is nothing to answer before the complete request has arrived.
+        (
+            Model::Busy { length, read },
+            Step::Answer | Step::PartialAnswer | Step::AnswerWithTrailingBytes(_) | Step::MalformedAnswer(_),
+        ) if read < length => Ok(model),
+        (Model::Busy { .. }, Step::Answer | Step::AnswerWithTrailingBytes(_)) => {
+            let (trailing_bytes, next_model) = match step {
+                Step::AnswerWithTrailingBytes(n) => {
+                    (TRAILING_BYTES[usize::from(*n) % TRAILING_BYTES.len()], Model::Closed)
+                }
                 _ => ("", Model::Idle),
             };
-            real.write(format!("HTTP/1.1 103 Early Hints\r\n\r\n{OK}{behind}").as_bytes()).await;
-            quiet().await;
-            match real.ended().await {
-                // What came behind it is neither served nor waited for.
+            real.write(format!("HTTP/1.1 103 Early Hints\r\n\r\n{OK}{trailing_bytes}").as_bytes()).await;
+            run_pending_tasks().await;
+            match real.take_result().await {
+                // The bytes after the answer are neither served nor waited for.
                 Some(ExchangeResult::Answered(status, _, body)) if status == 200 && *body == *b"ok" => {
-                    Ok(after)
+                    Ok(next_model)
                 }
-                other => wrong(&format!("no answer but {other:?}")),
+                other => mismatch(&format!("expected an answer, got {other:?}")),
             }
         }
-        (Model::Busy { .. }, Step::Spoilt(n)) => {
-            real.write(SPOILT[usize::from(*n) % SPOILT.len()].as_bytes()).await;
-            quiet().await;
-            match real.ended().await {
+        (Model::Busy { .. }, Step::MalformedAnswer(n)) => {
+            real.write(MALFORMED_ANSWERS[usize::from(*n) % MALFORMED_ANSWERS.len()].as_bytes()).await;
+            run_pending_tasks().await;
+            match real.take_result().await {
                 Some(ExchangeResult::Broken { last_byte_written: true }) => {
                     real.connection = None;
                     Ok(Model::Closed)
                 }
-                other => wrong(&format!("no failure but {other:?}")),
+                other => mismatch(&format!("expected a broken exchange, got {other:?}")),
             }
         }
-        (Model::Idle, Step::Answer | Step::Half | Step::Surplus(_) | Step::Spoilt(_)) => {
+        (
+            Model::Idle,
+            Step::Answer | Step::PartialAnswer | Step::AnswerWithTrailingBytes(_) | Step::MalformedAnswer(_),
+        ) => {
             real.write(b"HTTP/1.1 200 OK\r\n\r\n").await;
             Ok(Model::Closed)
         }
@@ -209,43 +217,45 @@
             real.peer = None;
             Ok(Model::Closed)
         }
-        (Model::Busy { length, read }, Step::Half | Step::Close) => {
-            if matches!(step, Step::Half) {
+        (Model::Busy { length, read }, Step::PartialAnswer | Step::Close) => {
+            if matches!(step, Step::PartialAnswer) {
                 real.write(b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nok").await;
             }
             real.peer = None;
-            quiet().await;
-            match real.ended().await {
+            run_pending_tasks().await;
+            match real.take_result().await {
                 Some(ExchangeResult::Broken { last_byte_written })
-                    if last_byte_written == whole(length, read) =>
+                    if last_byte_written == fully_written(length, read) =>
                 {
-                    // Whatever was on it, it is never used again.
+                    // The connection is never used again, whatever was in progress.
                     real.connection = None;
                     Ok(Model::Closed)
                 }
-                other => wrong(&format!("no such break but {other:?}")),
+                other => {
+                    mismatch(&format!("expected a broken exchange with the modelled progress, got {other:?}"))
+                }
             }
         }
     }
 }
 
-fn holds(steps: Vec<Step>) -> TestResult {
+fn matches_model(steps: Vec<Step>) -> TestResult {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     let result = tokio::task::LocalSet::new().block_on(&runtime.expect("a runtime"), async {
-        let (mut model, mut real) = (Model::Idle, Real::new().await);
+        let (mut model, mut real) = (Model::Idle, RealConnection::new().await);
         for s in &steps {
-            // Time stands still: a step that hangs is an error at once.
+            // Time is paused: a step that hangs fails at once.
             let next = tokio::time::timeout(std::time::Duration::from_secs(1), step(model, &mut real, s));
             model = next.await.unwrap_or_else(|_| Err(format!("{s:?} hangs at {model:?}")))?;
-            quiet().await;
+            run_pending_tasks().await;
             let state = real.connection.as_ref().map(Connection::state);
-            let same = match model {
+            let consistent = match model {
                 Model::Idle => state == Some(ConnectionState::Idle),
                 Model::Busy { .. } => state.is_none(),
                 Model::Closed => state.is_none_or(|s| s == ConnectionState::Closed),
             };
-            if !same {
-                return Err(format!("{state:?} where the model is {model:?}, after {s:?}"));
+            if !consistent {
+                return Err(format!("connection state {state:?} but model {model:?} after {s:?}"));
             }
         }
         Ok(())
@@ -257,7 +267,7 @@
 }
 
 #[test]
-fn a_connection_does_as_its_model_says() {
+fn connection_behaves_like_its_model() {
     let rng = Gen::from_size_and_seed(40, 0x5eed);
-    QuickCheck::new().rng(rng).tests(400).quickcheck(holds as fn(Vec<Step>) -> TestResult);
+    QuickCheck::new().rng(rng).tests(400).quickcheck(matches_model as fn(Vec<Step>) -> TestResult);
 }
--- a/crates/transport/tests/discovery.rs
+++ b/crates/transport/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! The watch on discovery over real connections.
+//! Tests the discovery watch over real connections.
 
 use roseproxy_decision::interface::{Settings, Update};
 use roseproxy_platform::request::Classes;
@@ -16,8 +16,8 @@
 use tokio::sync::watch;
 use tokio::task::{spawn_local, LocalSet};
 
-/// Answers with this revision of an empty list, as a whole list and as a watch alike.
-async fn answer(stream: &mut TcpStream, revision: u64) {
+/// Sends an empty list with this revision, which serves as a complete list and as a watch message.
+async fn send_list(stream: &mut TcpStream, revision: u64) {
     let mut head = [0; 4096];
     assert!(stream.read(&mut head).await.expect("a request") > 0);
     let list = format!("{{\"revision\":{revision},\"complete\":true,\"members\":[]}}\n");
@@ -31,25 +31,26 @@
 }
 
 /// Waits until the counters show this revision.
-async fn shows(gateway: &Gateway<Tcp>, wanted: u64) {
-    let shown = async {
-        while revision(gateway) != Some(wanted) {
+async fn wait_for_revision(gateway: &Gateway<Tcp>, expected: u64) {
+    let reached = async {
+        while revision(gateway) != Some(expected) {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
-    let shown = tokio::time::timeout(Duration::from_secs(20), shown).await;
-    assert!(shown.is_ok(), "the counters show {:?} and not {wanted}", revision(gateway));
+    let reached = tokio::time::timeout(Duration::from_secs(20), reached).await;
+    assert!(reached.is_ok(), "the counters show revision {:?} instead of {expected}", revision(gateway));
 }
 
-fn local<T>(scene: impl Future<Output = T>) -> T {
+fn run_local<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), scene)
+    LocalSet::new().block_on(&runtime.expect("a runtime"), test)
 }
 
-/// The revision of the list in hand is among the counters: operators tell by it which sidecar is behind.
+/// Guards against a counter that does not follow the applied lists: operators use it to find
+/// sidecars with an outdated list.
 #[test]
-fn the_counters_show_the_revision_in_hand() {
-    local(async {
+fn counters_show_the_current_revision() {
+    run_local(async {
         let socket = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = socket.local_addr().expect("bound");
         let settings = Settings::default();
@@ -57,27 +58,27 @@
         let host = Host::new(settings, 5, 0.0);
         let gateway = Gateway::new(Tcp, host, classes, Budget::new(20), Rc::new(|| 0.0));
         assert_eq!(revision(&gateway), Some(0), "no list yet");
-        let (_keep, moves) = watch::channel(address);
-        spawn_local(Watcher::new(gateway.clone(), moves, None).run());
+        let (_address_sender, address_changes) = watch::channel(address);
+        spawn_local(Watcher::new(gateway.clone(), address_changes, None).run());
         gateway.apply_kept_list(Update::Complete, &[]);
-        let (mut stream, _) = socket.accept().await.expect("a caller");
-        answer(&mut stream, 41).await;
-        shows(&gateway, 41).await;
-        answer(&mut stream, 43).await;
-        shows(&gateway, 43).await;
+        let (mut stream, _) = socket.accept().await.expect("the watcher connects");
+        send_list(&mut stream, 41).await;
+        wait_for_revision(&gateway, 41).await;
+        send_list(&mut stream, 43).await;
+        wait_for_revision(&gateway, 43).await;
     });
 }
 
-/// A sidecar that starts on a known list has that list's revision.
+/// A sidecar that starts with a stored list reports that list's revision.
 #[test]
-fn the_counters_show_the_revision_of_the_known_list() {
-    local(async {
+fn counters_show_the_revision_of_a_stored_list() {
+    run_local(async {
         let settings = Settings::default();
         let classes = Classes::new(Dialect::default(), settings.classes.clone());
         let host = Host::new(settings, 5, 0.0);
         let gateway = Gateway::new(Tcp, host, classes, Budget::new(20), Rc::new(|| 0.0));
-        let (_keep, moves) = watch::channel(([127, 0, 0, 1], 9).into());
-        let _watcher = Watcher::new(gateway.clone(), moves, Some(7));
+        let (_address_sender, address_changes) = watch::channel(([127, 0, 0, 1], 9).into());
+        let _watcher = Watcher::new(gateway.clone(), address_changes, Some(7));
         assert_eq!(revision(&gateway), Some(7));
     });
 }
