--- a/crates/roseproxy/tests/common/mod.rs
+++ b/crates/roseproxy/tests/common/mod.rs
@@ -18,7 +18,7 @@
 use roseproxy_transport::discovery::Watcher;
 use roseproxy_transport::listener::Listener;
 use roseproxy_transport::network::{Network, Tcp};
-use roseproxy_transport::pool::REST;
+use roseproxy_transport::pool::REUSE_DELAY_MS;
 use roseproxy_transport::Gateway;
 use serde_json::{json, Value};
 use std::cell::Cell;
@@ -151,7 +151,7 @@
     gateway.set_wall_clock(clock.wall_reader());
     let in_service: Vec<_> = endpoints.iter().map(|endpoint| (*endpoint, "in_service")).collect();
     let known = discovery::read(list_json(1, true, &in_service).as_bytes()).expect("a list");
-    gateway.targets(Update::Complete, &known.targets);
+    gateway.apply_kept_list(Update::Complete, &known.targets);
     spawn_local(gateway.clone().run_timers());
     gateway
 }
@@ -248,7 +248,7 @@
 /// to stay unused before they carry the next request.
 pub async fn wait_until_reusable<N: Network>(sidecar: &Sidecar<N>, clock: &Clock, kept: u64) {
     wait_until("connections are kept", || counter(&sidecar.gateway, "targets_idle") == kept).await;
-    clock.set(clock.now() + REST);
+    clock.set(clock.now() + REUSE_DELAY_MS);
 }
 
 /// Yields 50 times, so that all tasks that are ready run.
--- a/crates/roseproxy/tests/crossed_faults.rs
+++ b/crates/roseproxy/tests/crossed_faults.rs
@@ -40,7 +40,7 @@
     let mut change =
         discovery::read(list_json(2, false, &[(new_address, "in_service")]).as_bytes()).expect("a list");
     change.targets[0].started_at = Some(wall_clock());
-    sidecar.gateway.targets(Update::Changes, &change.targets);
+    sidecar.gateway.apply_kept_list(Update::Changes, &change.targets);
     tokio::time::sleep(wait).await;
     let mut client = TcpStream::connect(sidecar.address).await.expect("connects");
     for number in 0..REQUESTS {
--- a/crates/roseproxy/tests/departures.rs
+++ b/crates/roseproxy/tests/departures.rs
@@ -185,7 +185,7 @@
         tokio::time::sleep(DEPARTURE_NOTICED_AFTER).await;
         let text = list_json(2, true, &[(endpoint.address, "in_service")]);
         let listing = discovery::read(text.as_bytes()).expect("a list");
-        sidecar.gateway.targets(Update::Complete, &listing.targets);
+        sidecar.gateway.apply_kept_list(Update::Complete, &listing.targets);
         tokio::time::sleep(LONGER_THAN_ANY_WAIT).await;
         assert_eq!(endpoint.received("left"), expected(client, 0), "{client:?}");
         drop(open_stream);
--- a/crates/roseproxy/tests/sockets.rs
+++ b/crates/roseproxy/tests/sockets.rs
@@ -9,7 +9,7 @@
 use roseproxy::{config::Config, reload::Reload, Clock};
 use roseproxy_platform::request::Outgoing;
 use roseproxy_transport::connect;
-use roseproxy_transport::connection::State;
+use roseproxy_transport::connection::ConnectionState;
 use roseproxy_transport::discovery::Watcher;
 use roseproxy_transport::listener::Phase;
 use roseproxy_transport::network::Tcp;
@@ -111,10 +111,10 @@
         });
         connection.exchange(Outgoing::get("/stats", "a")).await;
         let stream = served.await.expect("no panic").into_std().expect("a stream");
-        assert!(connection.settle().await && connection.state() == State::Idle);
+        assert!(connection.wait_until_idle().await && connection.state() == ConnectionState::Idle);
         // The event loop does not run between the write and the check.
         std::io::Write::write_all(&mut &stream, OK_RESPONSE.as_bytes()).expect("written");
-        assert_eq!(connection.state(), State::Closed);
+        assert_eq!(connection.state(), ConnectionState::Closed);
     });
 }
 
@@ -272,11 +272,11 @@
         client.write_all(request_text("quote", "1", "").as_bytes()).await.expect("written");
         let (mut stream, _) = socket.accept().await.expect("the sidecar connects");
         read_message(&mut stream).await.expect("a request");
-        sidecar.listener.enter(Phase::Leaving);
+        sidecar.listener.set_phase(Phase::NotReady);
         assert!(exchange(&mut idle, ready).await.starts_with("HTTP/1.1 503"), "no longer ready");
-        sidecar.listener.enter(Phase::Closing);
+        sidecar.listener.set_phase(Phase::Closing);
         assert!(read_message(&mut idle).await.is_none());
-        assert!(!sidecar.listener.quiet_for(0.0), "one answer is still due");
+        assert!(!sidecar.listener.is_idle_for(0.0), "one answer is still due");
         stream.write_all(OK_RESPONSE.as_bytes()).await.expect("written");
         let answer = read_message(&mut client).await.expect("a whole answer");
         assert!(answer.ends_with("priced"), "{answer}");
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -1,10 +1,11 @@
-//! One connection to a target: hyper's client, with the bytes of each request counted.
+//! One connection to a target: hyper's client, with accounting of the bytes written for each
+//! request.
 
-use super::meter::{Meter, Writing};
-use super::network::{Peek, Unread};
-use super::steady::Steady;
-use super::tap::Tapped;
-use super::Task;
+use super::network::{Peek, PeekResult};
+use super::retrying_stream::RetryingStream;
+use super::tap::TappedStream;
+use super::write_progress::{WriteObserver, WriteProgress};
+use super::AbortOnDrop;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Body, Incoming};
@@ -17,40 +18,41 @@
 use std::rc::Rc;
 use tokio::io::{AsyncRead, AsyncWrite};
 
-/// Where a connection stands.
+/// The state of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
-    /// Open, with nothing on it: the next request may go out.
+pub enum ConnectionState {
+    /// Open and unused: the next request may be sent.
     Idle,
-    /// A request is on it.
+    /// A request is in progress.
     Busy {
-        /// Whether its last byte is written: from there on it may run.
+        /// Whether the request's last byte has been written; from then on the request may run.
         last_byte_written: bool,
     },
-    /// Nothing goes out on it any more.
+    /// No further request can be sent.
     Closed,
 }
 
 /// How an exchange ended.
 #[derive(Debug)]
-pub enum Exchange {
-    /// A whole answer came.
+pub enum ExchangeResult {
+    /// A complete answer was received.
     Answered(StatusCode, HeaderMap, Bytes),
-    /// The connection broke, or what came was no answer.
-    Broke {
-        /// Whether the request's last byte had been written.
+    /// The connection failed, or what was received is not a valid answer.
+    Broken {
+        /// Whether the last byte of the request had been written.
         last_byte_written: bool,
     },
 }
 
-/// A connection to a target. Dropping it closes it, whatever is on it.
+/// A connection to a target. Dropping it closes it, including any request in progress.
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    meter: Meter,
-    /// The count at which the present request is written whole, while one is out.
-    whole_at: Option<u64>,
+    write_progress: WriteProgress,
+    /// The count of written bytes at which the current request is complete, while one is in
+    /// progress.
+    request_end: Option<u64>,
     peek: Peek,
-    _driver: Task,
+    _driver: AbortOnDrop,
 }
 
 impl std::fmt::Debug for Connection {
@@ -60,113 +62,118 @@
 }
 
 impl Connection {
-    /// Starts speaking on an open stream; `peek` asks the stream itself, as the driver may not have been
-    /// told yet what has come.
+    /// Starts HTTP on an open stream. `peek` inspects the stream itself, because the driver task
+    /// may not have been notified of received data yet.
     pub async fn start<S>(stream: S, peek: Peek) -> Result<Connection, hyper::Error>
     where
         S: AsyncRead + AsyncWrite + Unpin + 'static,
     {
-        let meter = Meter::default();
-        let stream = Tapped::new(Steady::new(stream), meter.clone());
+        let write_progress = WriteProgress::default();
+        let stream = TappedStream::new(RetryingStream::new(stream), write_progress.clone());
         let (sender, driver) = handshake(TokioIo::new(stream)).await?;
-        // What goes wrong on it shows in the exchange, or as a closed connection.
+        // Errors of the driver surface in the exchange or as a closed connection.
         let driver = tokio::task::spawn_local(async move { drop(driver.await) });
-        Ok(Connection { sender, meter, whole_at: None, peek, _driver: driver.into() })
+        Ok(Connection { sender, write_progress, request_end: None, peek, _driver: driver.into() })
     }
 
-    /// Where it stands.
-    pub fn state(&self) -> State {
-        match self.whole_at {
-            Some(_) => State::Busy { last_byte_written: self.last_byte_written() },
-            // A request written after the close is one that may have run; one written behind bytes that
-            // nobody asked for would take them for its answer.
-            None if self.sender.is_closed() || (self.peek)() != Unread::Nothing => State::Closed,
-            None => State::Idle,
+    /// The current state.
+    pub fn state(&self) -> ConnectionState {
+        match self.request_end {
+            Some(_) => ConnectionState::Busy { last_byte_written: self.last_byte_written() },
+            // A request written after the peer's close would count as one that may have run. A
+            // request written after unsolicited bytes would take them for its answer.
+            None if self.sender.is_closed() || (self.peek)() != PeekResult::Empty => ConnectionState::Closed,
+            None => ConnectionState::Idle,
         }
     }
 
     fn last_byte_written(&self) -> bool {
-        self.whole_at.is_some_and(|whole| self.meter.written() >= whole)
+        self.request_end.is_some_and(|request_end| self.write_progress.written() >= request_end)
     }
 
-    /// Sends a request and reads its answer whole. It is sent once: a connection that turns out to be
-    /// closed is an exchange that broke, with nothing sent again behind the caller's back.
-    pub async fn exchange(&mut self, outgoing: Outgoing) -> Exchange {
-        self.exchange_up_to(outgoing, BODY_LIMIT).await
+    /// Sends a request and reads the complete answer. The request is sent once: if the connection
+    /// turns out to be closed the exchange is broken, and nothing is resent behind the caller's
+    /// back.
+    pub async fn exchange(&mut self, outgoing: Outgoing) -> ExchangeResult {
+        self.exchange_with_limit(outgoing, BODY_LIMIT).await
     }
 
-    /// The same for a request that must not be written on from some moment: where it is not whole then it is broken
-    /// off, and never runs. `writing` is asked before each write, and told how far it went out.
-    pub(super) async fn exchange_unless(
+    /// Like [`Connection::exchange`], for a request that must not be written any further once
+    /// `write_deadline` completes. If its last byte is not written by then, the request is aborted
+    /// and never runs. `observer` is asked before each write and is notified of the progress.
+    pub(super) async fn exchange_guarded(
         &mut self,
         outgoing: Outgoing,
-        too_late: impl Future<Output = ()>,
-        writing: Rc<dyn Writing>,
-    ) -> Exchange {
-        let (written, whole_at) = (self.meter.clone(), self.meter.written() + outgoing.length);
-        self.meter.watch(outgoing.length, writing);
-        let broken_off = async {
-            too_late.await;
-            if written.written() >= whole_at {
+        write_deadline: impl Future<Output = ()>,
+        observer: Rc<dyn WriteObserver>,
+    ) -> ExchangeResult {
+        let (written, request_end) =
+            (self.write_progress.clone(), self.write_progress.written() + outgoing.length);
+        self.write_progress.track(outgoing.length, observer);
+        let aborted = async {
+            write_deadline.await;
+            if written.written() >= request_end {
                 pending().await
             }
         };
         tokio::select! {
             biased;
             end = self.exchange(outgoing) => end,
-            () = broken_off => Exchange::Broke { last_byte_written: false },
+            () = aborted => ExchangeResult::Broken { last_byte_written: false },
         }
     }
 
-    /// The same, with the longest body that is read.
-    pub async fn exchange_up_to(&mut self, outgoing: Outgoing, limit: usize) -> Exchange {
+    /// Like [`Connection::exchange`], with a given limit for the body of the answer (bytes).
+    pub async fn exchange_with_limit(&mut self, outgoing: Outgoing, limit: usize) -> ExchangeResult {
         match self.send(outgoing).await {
-            Ok(answer) => self.read(answer, limit).await,
-            Err(broke) => broke,
+            Ok(answer) => self.read_answer(answer, limit).await,
+            Err(broken) => broken,
         }
     }
 
-    /// Sends a request and waits for the head of its answer, for answers that are streams.
-    pub async fn send(&mut self, outgoing: Outgoing) -> Result<Response<Incoming>, Exchange> {
-        // The driver may not have seen yet that the answer before was the last; without this, hyper
-        // would refuse a request that it could send.
+    /// Sends a request and waits only for the head of the answer, for streamed answers.
+    pub async fn send(&mut self, outgoing: Outgoing) -> Result<Response<Incoming>, ExchangeResult> {
+        // The driver may not have noticed yet that the previous answer was the last on this
+        // connection. Without waiting for readiness hyper would refuse a request that it could
+        // send.
         if self.sender.ready().await.is_err() {
-            return Err(Exchange::Broke { last_byte_written: false });
+            return Err(ExchangeResult::Broken { last_byte_written: false });
         }
-        self.whole_at = Some(self.meter.written() + outgoing.length);
+        self.request_end = Some(self.write_progress.written() + outgoing.length);
         match self.sender.send_request(outgoing.request).await {
-            // A target begins once the last byte has come: what it says sooner is no answer to this request, and
-            // one that never comes whole never runs.
-            Ok(_) if !self.last_byte_written() => Err(self.broke()),
+            // A target starts work once it has received the last byte. Anything it sends earlier is
+            // not an answer to this request, and a request that never arrives completely never
+            // runs.
+            Ok(_) if !self.last_byte_written() => Err(self.broken()),
             Ok(answer) => Ok(answer),
-            Err(_) => Err(self.broke()),
+            Err(_) => Err(self.broken()),
         }
     }
 
-    async fn read(&mut self, answer: Response<Incoming>, limit: usize) -> Exchange {
+    async fn read_answer(&mut self, answer: Response<Incoming>, limit: usize) -> ExchangeResult {
         let (head, body) = answer.into_parts();
-        // What is no answer to a request of ours: 101 hands the connection over to another protocol, and a
-        // body said to be larger than the platform allows is not waited for.
-        let stated = body.size_hint().lower();
-        if head.status == StatusCode::SWITCHING_PROTOCOLS || stated > limit as u64 {
-            return self.broke();
+        // Not an answer to our request: status 101 would switch to another protocol, and a body
+        // announced as larger than the platform allows is not waited for.
+        let min_body_length = body.size_hint().lower();
+        if head.status == StatusCode::SWITCHING_PROTOCOLS || min_body_length > limit as u64 {
+            return self.broken();
         }
-        // Against a body without end: no more is read than the platform allows.
+        // Guards against an endless body: no more is read than the platform allows.
         match Limited::new(body, limit).collect().await {
             Ok(body) => {
-                self.whole_at = None;
-                Exchange::Answered(head.status, head.headers, body.to_bytes())
+                self.request_end = None;
+                ExchangeResult::Answered(head.status, head.headers, body.to_bytes())
             }
-            Err(_) => self.broke(),
+            Err(_) => self.broken(),
         }
     }
 
-    fn broke(&mut self) -> Exchange {
-        Exchange::Broke { last_byte_written: self.last_byte_written() }
+    fn broken(&mut self) -> ExchangeResult {
+        ExchangeResult::Broken { last_byte_written: self.last_byte_written() }
     }
 
-    /// Waits until the next request can go out; false where the connection has ended.
-    pub async fn settle(&mut self) -> bool {
-        self.whole_at.is_none() && self.sender.ready().await.is_ok()
+    /// Waits until the next request can be sent; returns false if the connection has ended.
+    pub async fn wait_until_idle(&mut self) -> bool {
+        self.request_end.is_none() && self.sender.ready().await.is_ok()
     }
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,53 +1,59 @@
-//! Sockets: the listener, connections to targets and to discovery, byte accounting, socket budget.
+//! Socket layer of the sidecar: accepts client connections, keeps connections to targets, and
+//! follows discovery.
 //!
-//! [`Gateway`] joins them with [`roseproxy_routing`]: it carries out routing's orders on the network and
-//! reports back what came of them.
+//! The [`listener`] reads requests and hands them to [`Gateway`], which executes the orders of
+//! [`roseproxy_routing`] on the network and reports the results back. HTTP messages and their
+//! encoding come from [`roseproxy_platform`], the HTTP implementation from hyper. All sockets are
+//! opened through the [`network::Network`] trait, so that tests and simulations can replace them.
+//! Start reading at [`Gateway`], then see [`listener`] for the client side, [`connection`] and
+//! [`pool`] for the target side, and [`discovery`].
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod accepting;
+mod acceptor;
 mod attempt;
 pub mod budget;
-mod client;
-pub mod connecting;
+mod client_stream;
 pub mod connection;
+pub mod connector;
+mod counters;
 pub mod discovery;
 pub mod errno;
+mod event_loop_lag;
 mod gateway;
-mod head;
-mod lateness;
 pub mod listener;
-mod meter;
 pub mod network;
 pub mod pool;
-mod steady;
+mod request_framing;
+mod retrying_stream;
 mod tap;
-mod traffic;
+mod write_progress;
 
-pub use connecting::connect;
+pub use connector::connect;
+pub use counters::Counters;
 pub use gateway::Gateway;
-pub use traffic::Traffic;
 
 use tokio::task::{AbortHandle, JoinHandle};
 
-/// A task that ends, and lets go of its connection, when nobody holds it any more.
+/// A task handle that aborts the task on drop, which also releases the task's connection.
 #[derive(Debug)]
-pub(crate) struct Task(AbortHandle);
+pub(crate) struct AbortOnDrop(AbortHandle);
 
-impl<T> From<JoinHandle<T>> for Task {
-    fn from(handle: JoinHandle<T>) -> Task {
-        Task(handle.abort_handle())
+impl<T> From<JoinHandle<T>> for AbortOnDrop {
+    fn from(handle: JoinHandle<T>) -> AbortOnDrop {
+        AbortOnDrop(handle.abort_handle())
     }
 }
 
-impl Drop for Task {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-/// Program milliseconds as a length of time for the runtime; never negative, never endless.
-pub(crate) fn length(millis: f64) -> std::time::Duration {
+/// Converts milliseconds on the program's clock to a duration between zero and one day, so never
+/// negative or infinite.
+pub(crate) fn duration_from_ms(millis: f64) -> std::time::Duration {
     std::time::Duration::from_secs_f64(millis.clamp(0.0, 86_400_000.0) / 1000.0)
 }
