--- a/crates/capacity/src/lists.rs
+++ b/crates/capacity/src/lists.rs
@@ -11,7 +11,7 @@
 use crate::report::{Report, Table};
 use roseproxy_decision::interface::{Event, Server, Update};
 use roseproxy_decision::policy::Balancer;
-use roseproxy_platform::discovery::{self, Listing};
+use roseproxy_platform::discovery::{self, ListUpdate};
 use roseproxy_routing::flow::Target;
 use roseproxy_routing::Host;
 use serde::Serialize;
@@ -81,7 +81,7 @@
     balancer.handle(now, Event::Servers { update, servers: list }, &mut Vec::new());
 }
 
-fn read(text: &str) -> Result<Listing> {
+fn read(text: &str) -> Result<ListUpdate> {
     let wrong =
         |what| Error::Process { name: "reader".into(), what: format!("could not read a list: {what}") };
     discovery::read(text.as_bytes()).map_err(wrong)
--- a/crates/capacity/tests/stand_ins.rs
+++ b/crates/capacity/tests/stand_ins.rs
@@ -34,11 +34,11 @@
 fn lists_and_changes_are_read_by_the_platforms_reader() {
     let (whole, change) = texts(1_000);
     let whole = read(whole.as_bytes()).expect("a list");
-    assert_eq!((whole.targets.len(), whole.unread), (1_000, 0));
+    assert_eq!((whole.targets.len(), whole.unreadable_entries), (1_000, 0));
     let addresses: std::collections::HashSet<_> = whole.targets.iter().map(|t| (t.id, t.address)).collect();
     assert_eq!(addresses.len(), 1_000, "each endpoint has an id and an address of its own");
     let change = read(change.as_bytes()).expect("a change");
-    assert_eq!((change.targets.len(), change.revision, change.unread), (1, 2, 0));
+    assert_eq!((change.targets.len(), change.revision, change.unreadable_entries), (1, 2, 0));
     assert!(whole.targets.contains(&roseproxy_routing::flow::Target {
         readiness: whole.targets[0].readiness,
         ..change.targets[0].clone()
@@ -73,7 +73,7 @@
 fn a_heartbeat_is_an_empty_line() {
     assert_eq!(chunk(""), b"1\r\n\n\r\n");
     let (mut decoder, mut frames) = (WatchDecoder::default(), Vec::new());
-    decoder.take(b"\n", |frame| frames.push(frame));
+    decoder.push(b"\n", |frame| frames.push(frame));
     assert_eq!(frames, [WatchFrame::Heartbeat]);
 }
 
--- a/crates/lab/src/in_process.rs
+++ b/crates/lab/src/in_process.rs
@@ -1,8 +1,8 @@
 //! Whole sidecars in this process, from the listener down, over any network.
 
 use roseproxy::config::Config;
-use roseproxy::signals::Asked;
-use roseproxy::start::{serve, Surroundings};
+use roseproxy::serve::{serve, Environment};
+use roseproxy::signals::Control;
 use roseproxy::Clock;
 use roseproxy_emulator::fabric::Fabric;
 use roseproxy_emulator::memory::{Memory, MemoryListener, MemoryStream, Waiting};
@@ -62,7 +62,7 @@
 /// One sidecar that was started.
 struct Running {
     task: JoinHandle<()>,
-    asked: UnboundedSender<Asked>,
+    asked: UnboundedSender<Control>,
     /// What its configuration file holds now.
     file: Rc<RefCell<Value>>,
 }
@@ -87,7 +87,7 @@
         let (asked, asking) = unbounded_channel();
         let file = Rc::new(RefCell::new(config.clone()));
         let say: Rc<dyn Fn(&str)> = Rc::new(move |line| tracing::debug!(sidecar = number, "{line}"));
-        let around = Surroundings { network, clock, say, decider, print_events: false };
+        let around = Environment { network, clock, log: say, decider, print_events: false };
         let read = {
             let file = file.clone();
             move || Ok(Config::read(&file.borrow().to_string(), |_| None)?)
@@ -112,11 +112,11 @@
         let Some(one) = running.get(&number) else { return };
         match signal {
             Signal::Term => {
-                let _ = one.asked.send(Asked::End);
+                let _ = one.asked.send(Control::Shutdown);
             }
             Signal::Reload(config) => {
                 *one.file.borrow_mut() = config;
-                let _ = one.asked.send(Asked::Reload);
+                let _ = one.asked.send(Control::Reload);
             }
             Signal::Kill => one.task.abort(),
         }
--- a/crates/lab/src/scale/sidecars.rs
+++ b/crates/lab/src/scale/sidecars.rs
@@ -168,7 +168,7 @@
 
 impl Sidecars for MemorySidecars {
     fn start(&self, number: usize, config: &Value) -> Result<(), String> {
-        let clock = Clock::from(self.epoch + self.origin.elapsed().as_secs_f64() * 1e3);
+        let clock = Clock::simulated(self.epoch + self.origin.elapsed().as_secs_f64() * 1e3);
         let network = MemoryNetwork { memory: self.memory.clone(), held: Rc::new(Cell::new(0)) };
         self.in_process.start(number, config, network, clock, None)
     }
--- a/crates/lab/src/virtual_time.rs
+++ b/crates/lab/src/virtual_time.rs
@@ -14,7 +14,7 @@
 use roseproxy_emulator::memory::Memory;
 use roseproxy_emulator::plan::Plan;
 use roseproxy_emulator::world::{Addresses, Sidecars, Signal, World};
-use roseproxy_platform::wire::tag;
+use roseproxy_platform::wire::name_hash;
 use roseproxy_routing::decide::Decider;
 use roseproxy_routing::time::to_micros;
 use serde_json::Value;
@@ -48,7 +48,7 @@
         Rc::new(move |id: ServerId| {
             let Some(world) = world.upgrade() else { return f64::INFINITY };
             let members = world.members();
-            let member = members.iter().find(|m| tag(&m.model.borrow().plan.id) == id.0);
+            let member = members.iter().find(|m| name_hash(&m.model.borrow().plan.id) == id.0);
             let Some(member) = member.filter(|m| m.in_service()) else { return f64::INFINITY };
             member.touch(world.now());
             let forecast = member.model.borrow().forecast(100.0);
@@ -72,7 +72,7 @@
 impl Sidecars for MemorySidecars {
     fn start(&self, number: usize, config: &Value) -> Result<(), String> {
         let parsed = Config::read(&config.to_string(), |_| None)?;
-        let clock = Clock::from(EPOCH + self.now());
+        let clock = Clock::simulated(EPOCH + self.now());
         let decider = self.decider(number, parsed.settings, parsed.seed, clock.now());
         let held = Rc::new(Cell::new(0));
         let network = MemoryNetwork { memory: self.memory.clone(), held: held.clone() };
--- a/crates/lab/tests/discovery_return.rs
+++ b/crates/lab/tests/discovery_return.rs
@@ -388,7 +388,7 @@
     let began = service.began;
     let now = move || EPOCH + began.elapsed().as_secs_f64() * 1e3;
     let host = Host::new(config.settings.clone(), config.seed, now());
-    let classes = Classes::new(config.dialect, config.settings.classes);
+    let classes = Classes::new(config.names, config.settings.classes);
     let gateway = Gateway::new(service.clone(), host, classes, Budget::new(20), Rc::new(now));
     gateway.targets(Update::Complete, &[]);
     spawn_local(gateway.clone().run_timers());
--- a/crates/platform/src/answer.rs
+++ b/crates/platform/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to the application.
+//! HTTP responses to the application.
 
 use super::request::Malformed;
 use bytes::Bytes;
@@ -7,41 +7,43 @@
 use hyper::{Response, StatusCode};
 use roseproxy_routing::flow::Answer;
 
-/// An answer in HTTP.
+/// An HTTP response to a client.
 pub type Reply = Response<Full<Bytes>>;
 
-/// A plain answer of the sidecar's own.
-pub fn plain(status: StatusCode, text: impl Into<Bytes>) -> Reply {
+/// Builds a plain-text response of the sidecar itself, as opposed to one of a target.
+pub fn plain_text(status: StatusCode, text: impl Into<Bytes>) -> Reply {
     let mut reply = Response::new(Full::new(text.into()));
     *reply.status_mut() = status;
     reply.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain; charset=utf-8"));
     reply
 }
 
-/// A flow's answer.
-pub fn to_client(answer: Answer) -> Reply {
+/// Converts the answer of a flow to an HTTP response.
+pub fn to_reply(answer: Answer) -> Reply {
     match answer {
         Answer::Served(body) => Response::new(Full::new(body)),
         Answer::Refused { retry_after } => {
-            let mut reply = plain(StatusCode::SERVICE_UNAVAILABLE, "refused; trying again does no harm\n");
+            let mut reply =
+                plain_text(StatusCode::SERVICE_UNAVAILABLE, "refused; trying again does no harm\n");
             if retry_after > 0.0 {
                 let seconds = HeaderValue::from_str(&format!("{:.3}", retry_after / 1000.0));
                 reply.headers_mut().extend(seconds.ok().map(|v| (RETRY_AFTER, v)));
             }
             reply
         }
-        Answer::Failed => plain(StatusCode::BAD_GATEWAY, "failed; it may have taken effect\n"),
+        Answer::Failed => plain_text(StatusCode::BAD_GATEWAY, "failed; it may have taken effect\n"),
     }
 }
 
-/// The answer to a request that is not well-formed. Its connection ends, as the rest of it is unread.
-pub fn turned_away(malformed: Malformed) -> Reply {
-    let mut reply = plain(malformed.status, format!("{}\n", malformed.reason));
-    end_connection(&mut reply);
+/// Builds the response to a malformed request. It closes the connection, because the rest of the request
+/// has not been read.
+pub fn malformed_request(malformed: Malformed) -> Reply {
+    let mut reply = plain_text(malformed.status, format!("{}\n", malformed.reason));
+    set_connection_close(&mut reply);
     reply
 }
 
-/// Ends the connection behind an answer.
-pub fn end_connection(reply: &mut Reply) {
+/// Adds `Connection: close` to a response.
+pub fn set_connection_close(reply: &mut Reply) {
     reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery's lists of config servers: the target group and its changes.
+//! Discovery lists: the target group and its changes, and the framing of the watch that delivers them.
 
 use crate::list_reader::List;
 use roseproxy_decision::interface::Update;
@@ -6,37 +6,37 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// Where the whole list is.
-pub const LIST: &str = "/registry/instances";
+/// Path of the complete list.
+pub const LIST_PATH: &str = "/registry/instances";
 
-/// Where the changes after a version are.
+/// Path of the watch that streams the changes after a revision.
 pub fn watch_path(revision: u64) -> String {
-    format!("{LIST}?stream=1&index={revision}")
+    format!("{LIST_PATH}?stream=1&index={revision}")
 }
 
-/// A list or the changes to one.
+/// A complete list of targets, or changes to a list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listing {
-    /// Its version.
+pub struct ListUpdate {
+    /// Revision of the list.
     pub revision: u64,
-    /// Whether it names all there are.
+    /// Whether the entries are the complete list or changes to it.
     pub update: Update,
-    /// Its entries.
+    /// Entries that could be read.
     pub targets: Vec<Target>,
-    /// Entries that could not be read. A list with any is never taken as complete: a member that
-    /// only could not be read has not left.
-    pub unread: usize,
+    /// Number of entries that could not be read. A list with any of them is never treated as complete,
+    /// because a member with an unreadable entry has not left the group.
+    pub unreadable_entries: usize,
 }
 
-/// Decodes the bytes of a watch into frames: objects that take one line, or are indented over several.
+/// Decodes the byte stream of a watch into frames. An object takes one line, or is indented over several.
 #[derive(Debug, Default)]
 pub struct WatchDecoder {
-    /// What came of the line that is coming in.
+    /// Bytes of the line that has not ended yet.
     line: Vec<u8>,
-    /// Lines of an object that is not whole yet.
+    /// Lines of the object that is not complete yet.
     object: Vec<u8>,
-    /// How many brackets of it are open.
-    open: i64,
+    /// Number of open brackets in `object`.
+    open_brackets: i64,
 }
 
 /// One frame of a watch.
@@ -44,80 +44,85 @@
 pub enum WatchFrame {
     /// An empty line: nothing has changed.
     Heartbeat,
-    /// A line of an object that goes on.
+    /// A line within an object that continues on the next line.
     Partial,
-    /// What should be an object.
+    /// The text of an object. It has not been parsed and may be malformed.
     Object(Vec<u8>),
 }
 
 impl WatchDecoder {
-    /// Takes what came, and hands out each line's meaning once the line has ended.
-    pub fn take(&mut self, text: &[u8], mut frame: impl FnMut(WatchFrame)) {
-        for part in text.split_inclusive(|b| *b == b'\n') {
+    /// Adds received bytes, and calls `on_frame` for each line that has ended.
+    pub fn push(&mut self, bytes: &[u8], mut on_frame: impl FnMut(WatchFrame)) {
+        for part in bytes.split_inclusive(|b| *b == b'\n') {
             self.line.extend_from_slice(part);
             if part.ends_with(b"\n") {
                 let line = std::mem::take(&mut self.line);
-                self.end_line(line.trim_ascii(), &mut frame);
+                self.end_line(line.trim_ascii(), &mut on_frame);
             }
         }
     }
 
-    fn end_line(&mut self, line: &[u8], frame: &mut impl FnMut(WatchFrame)) {
+    fn end_line(&mut self, line: &[u8], on_frame: &mut impl FnMut(WatchFrame)) {
         if line.is_empty() {
-            return frame(if self.object.is_empty() { WatchFrame::Heartbeat } else { WatchFrame::Partial });
+            return on_frame(if self.object.is_empty() {
+                WatchFrame::Heartbeat
+            } else {
+                WatchFrame::Partial
+            });
         }
-        let opened = brackets(line);
-        // A whole list on a line of its own, behind one that was cut short: the latter's end will not come.
+        let opened = net_open_brackets(line);
+        // A complete list on a line of its own follows an object that was cut short, whose end will
+        // never arrive. The truncated object is passed on as it is, so that it does not hide the list.
         if !self.object.is_empty() && opened == 0 && line.starts_with(b"{") && read(line).is_ok() {
-            frame(WatchFrame::Object(std::mem::take(&mut self.object)));
-            self.open = 0;
+            on_frame(WatchFrame::Object(std::mem::take(&mut self.object)));
+            self.open_brackets = 0;
         }
-        self.open += opened;
+        self.open_brackets += opened;
         self.object.extend_from_slice(line);
-        if self.open > 0 && self.object.starts_with(b"{") {
-            return frame(WatchFrame::Partial);
+        if self.open_brackets > 0 && self.object.starts_with(b"{") {
+            return on_frame(WatchFrame::Partial);
         }
-        self.open = 0;
-        frame(WatchFrame::Object(std::mem::take(&mut self.object)));
+        self.open_brackets = 0;
+        on_frame(WatchFrame::Object(std::mem::take(&mut self.object)));
     }
 
-    /// Bytes held of what has not ended.
-    pub fn held(&self) -> usize {
+    /// Number of buffered bytes of incomplete lines and objects.
+    pub fn buffered_bytes(&self) -> usize {
         self.object.len() + self.line.len()
     }
 }
 
-/// How many more brackets a line opens than it closes. A string does not go over a line's end.
-fn brackets(line: &[u8]) -> i64 {
-    let (mut open, mut text, mut escaped) = (0, false, false);
+/// Opening brackets minus closing brackets in a line, outside of strings. JSON strings cannot span lines.
+fn net_open_brackets(line: &[u8]) -> i64 {
+    let (mut open, mut in_string, mut escaped) = (0, false, false);
     for byte in line {
         match byte {
             _ if escaped => escaped = false,
-            b'\\' if text => escaped = true,
-            b'"' => text = !text,
-            b'{' | b'[' if !text => open += 1,
-            b'}' | b']' if !text => open -= 1,
+            b'\\' if in_string => escaped = true,
+            b'"' => in_string = !in_string,
+            b'{' | b'[' if !in_string => open += 1,
+            b'}' | b']' if !in_string => open -= 1,
             _ => {}
         }
     }
     open
 }
 
-/// Reads a list from its text.
-pub fn read(text: &[u8]) -> Result<Listing, String> {
-    listing(serde_json::from_slice(text).map_err(|e| format!("not JSON: {e}"))?)
+/// Reads a list or a change from JSON text.
+pub fn read(text: &[u8]) -> Result<ListUpdate, String> {
+    to_update(serde_json::from_slice(text).map_err(|e| format!("not JSON: {e}"))?)
 }
 
-/// Reads a list.
-pub fn from_json(value: &Value) -> Result<Listing, String> {
-    listing(List::deserialize(value).map_err(|e| e.to_string())?)
+/// Reads a list or a change from a parsed JSON value.
+pub fn from_json(value: &Value) -> Result<ListUpdate, String> {
+    to_update(List::deserialize(value).map_err(|e| e.to_string())?)
 }
 
-fn listing(list: List) -> Result<Listing, String> {
+fn to_update(list: List) -> Result<ListUpdate, String> {
     let revision = list.revision.ok_or("revision is not a whole number")?;
     let complete = list.complete.ok_or("complete is neither true nor false")?;
-    let members = list.members.ok_or("members is not a list")?;
-    let unread = members.count - members.targets.len();
-    let update = if complete && unread == 0 { Update::Complete } else { Update::Changes };
-    Ok(Listing { revision, update, targets: members.targets, unread })
+    let entries = list.entries.ok_or("members is not a list")?;
+    let unreadable_entries = entries.total - entries.targets.len();
+    let update = if complete && unreadable_entries == 0 { Update::Complete } else { Update::Changes };
+    Ok(ListUpdate { revision, update, targets: entries.targets, unreadable_entries })
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,6 +1,12 @@
-//! The platform's HTTP and JSON: what its messages mean, and nothing of how they travel.
+//! The meaning of the platform's HTTP and JSON messages, independent of how they are transported.
 //!
-//! A second front would stand beside this layer; it would hand the same words to [`roseproxy_routing`].
+//! The crate translates client requests, responses of config servers, load reports and discovery lists
+//! into the types of [`roseproxy_routing`] and [`roseproxy_decision`], and flow answers back into HTTP.
+//! It does no input or output and makes no routing decisions. A front end for another client protocol
+//! would be a sibling of this crate and would pass the same types to [`roseproxy_routing`].
+//!
+//! Begin with [`request`] for the path of a client request and with [`discovery`] for the list of
+//! targets. [`wire`] reads the settings of the platform and the simulator's line protocol.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -13,5 +19,5 @@
 pub mod request;
 pub mod wire;
 
-/// The largest body that the platform sends either way.
-pub const BODY_LIMIT: usize = 64 * 1024;
+/// Largest body of a request or a response on the platform, in bytes.
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
--- a/crates/platform/src/list_reader.rs
+++ b/crates/platform/src/list_reader.rs
@@ -1,8 +1,9 @@
-//! Reading discovery's lists in one pass: thousands of entries come at once, and the program has one thread.
+//! Single-pass deserialization of discovery lists. A list can have thousands of entries, and the sidecar
+//! runs on one thread.
 //!
-//! An entry that cannot be read is no reason to drop the others, so that nothing in an entry is an error here.
+//! Nothing in an entry is a deserialization error: an unreadable entry must not discard the others.
 
-use crate::wire::tag;
+use crate::wire::name_hash;
 use roseproxy_decision::interface::{Readiness, ServerId};
 use roseproxy_routing::flow::Target;
 use serde::de::{Deserialize, Deserializer, IgnoredAny, MapAccess, SeqAccess, Visitor};
@@ -10,50 +11,51 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Entries of one list that are read; more than any fleet here has, and a bound for memory.
-const MOST_MEMBERS: usize = 4096;
+/// Maximum number of entries that are read from one list. It bounds memory and is above the size of any
+/// supported fleet.
+const MAX_ENTRIES: usize = 4096;
 
-/// A list's fields, as far as they are of the right kind.
+/// The fields of a list. A field that is missing or has the wrong JSON type is `None`.
 #[derive(Debug, Default)]
 pub(crate) struct List {
-    /// Its version.
+    /// Revision of the list.
     pub revision: Option<u64>,
-    /// Whether it names all there are.
+    /// Whether the list is complete, as opposed to changes.
     pub complete: Option<bool>,
-    /// Its entries.
-    pub members: Option<Members>,
+    /// The entries.
+    pub entries: Option<Entries>,
 }
 
 /// The entries of a list.
 #[derive(Debug, Default)]
-pub(crate) struct Members {
-    /// Those that could be read.
+pub(crate) struct Entries {
+    /// Entries that could be read.
     pub targets: Vec<Target>,
-    /// How many there were.
-    pub count: usize,
+    /// Number of all entries in the list.
+    pub total: usize,
 }
 
-/// A value of which only texts, numbers and truth are of interest.
+/// A JSON value of which only strings, numbers and booleans are kept.
 enum Scalar<'de> {
     Text(Cow<'de, str>),
-    Whole(u64),
+    Unsigned(u64),
     Number(f64),
-    Truth(bool),
+    Bool(bool),
     Other,
 }
 
 impl Scalar<'_> {
     fn number(&self) -> Option<f64> {
         match self {
-            Scalar::Whole(number) => Some(*number as f64),
+            Scalar::Unsigned(number) => Some(*number as f64),
             Scalar::Number(number) => Some(*number),
             _ => None,
         }
     }
 
-    fn whole(&self) -> Option<u64> {
+    fn unsigned(&self) -> Option<u64> {
         match self {
-            Scalar::Whole(number) => Some(*number),
+            Scalar::Unsigned(number) => Some(*number),
             _ => None,
         }
     }
@@ -66,42 +68,42 @@
     }
 }
 
-/// Makes a visitor of what stands for any value that is not of interest: each kind of value is read over.
-macro_rules! read_over {
-    ($other:expr; $($kind:ident)*) => {
-        $(read_over!(@ $kind $other);)*
+/// Implements visitor methods that skip values of the given JSON types and return a substitute for them.
+macro_rules! skip_values {
+    ($substitute:expr; $($kind:ident)*) => {
+        $(skip_values!(@ $kind $substitute);)*
     };
-    (@ texts $other:expr) => {
-        fn visit_str<E>(self, _: &str) -> Result<Self::Value, E> { Ok($other) }
+    (@ strings $substitute:expr) => {
+        fn visit_str<E>(self, _: &str) -> Result<Self::Value, E> { Ok($substitute) }
     };
-    (@ numbers $other:expr) => {
-        fn visit_u64<E>(self, _: u64) -> Result<Self::Value, E> { Ok($other) }
-        fn visit_i64<E>(self, _: i64) -> Result<Self::Value, E> { Ok($other) }
-        fn visit_f64<E>(self, _: f64) -> Result<Self::Value, E> { Ok($other) }
+    (@ numbers $substitute:expr) => {
+        fn visit_u64<E>(self, _: u64) -> Result<Self::Value, E> { Ok($substitute) }
+        fn visit_i64<E>(self, _: i64) -> Result<Self::Value, E> { Ok($substitute) }
+        fn visit_f64<E>(self, _: f64) -> Result<Self::Value, E> { Ok($substitute) }
     };
-    (@ truths $other:expr) => {
-        fn visit_bool<E>(self, _: bool) -> Result<Self::Value, E> { Ok($other) }
+    (@ booleans $substitute:expr) => {
+        fn visit_bool<E>(self, _: bool) -> Result<Self::Value, E> { Ok($substitute) }
     };
-    (@ nothing $other:expr) => {
-        fn visit_unit<E>(self) -> Result<Self::Value, E> { Ok($other) }
+    (@ null $substitute:expr) => {
+        fn visit_unit<E>(self) -> Result<Self::Value, E> { Ok($substitute) }
     };
-    (@ lists $other:expr) => {
+    (@ arrays $substitute:expr) => {
         fn visit_seq<A: SeqAccess<'de>>(self, mut list: A) -> Result<Self::Value, A::Error> {
             while list.next_element::<IgnoredAny>()?.is_some() {}
-            Ok($other)
+            Ok($substitute)
         }
     };
-    (@ objects $other:expr) => {
+    (@ objects $substitute:expr) => {
         fn visit_map<A: MapAccess<'de>>(self, mut object: A) -> Result<Self::Value, A::Error> {
             while object.next_entry::<IgnoredAny, IgnoredAny>()?.is_some() {}
-            Ok($other)
+            Ok($substitute)
         }
     };
 }
 
-struct AnyScalar;
+struct ScalarVisitor;
 
-impl<'de> Visitor<'de> for AnyScalar {
+impl<'de> Visitor<'de> for ScalarVisitor {
     type Value = Scalar<'de>;
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -117,7 +119,7 @@
     }
 
     fn visit_u64<E>(self, number: u64) -> Result<Scalar<'de>, E> {
-        Ok(Scalar::Whole(number))
+        Ok(Scalar::Unsigned(number))
     }
 
     fn visit_i64<E>(self, number: i64) -> Result<Scalar<'de>, E> {
@@ -128,23 +130,23 @@
         Ok(Scalar::Number(number))
     }
 
-    fn visit_bool<E>(self, truth: bool) -> Result<Scalar<'de>, E> {
-        Ok(Scalar::Truth(truth))
+    fn visit_bool<E>(self, value: bool) -> Result<Scalar<'de>, E> {
+        Ok(Scalar::Bool(value))
     }
 
-    read_over!(Scalar::Other; nothing lists objects);
+    skip_values!(Scalar::Other; null arrays objects);
 }
 
 impl<'de> Deserialize<'de> for Scalar<'de> {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_any(AnyScalar)
+        deserializer.deserialize_any(ScalarVisitor)
     }
 }
 
-/// An entry, where it could be read.
+/// An entry of a list; `None` if it could not be read.
 struct Entry(Option<Target>);
 
-/// The fields of an entry.
+/// The fields of an entry, each under the name that the sidecar uses for it.
 #[derive(Default)]
 struct Fields<'de> {
     id: Option<Scalar<'de>>,
@@ -157,23 +159,23 @@
     started: Option<Scalar<'de>>,
 }
 
-fn text<'a>(field: &'a Option<Scalar>) -> Option<&'a str> {
+fn field_text<'a>(field: &'a Option<Scalar>) -> Option<&'a str> {
     field.as_ref().and_then(Scalar::text)
 }
 
 impl Fields<'_> {
     fn target(&self) -> Option<Target> {
         let started = self.started.as_ref().and_then(Scalar::number).unwrap_or(0.0);
-        let address: SocketAddr = text(&self.address)?.parse().ok()?;
+        let address: SocketAddr = field_text(&self.address)?.parse().ok()?;
         Some(Target {
-            id: ServerId(tag(text(&self.id).filter(|id| !id.is_empty())?)),
+            id: ServerId(name_hash(field_text(&self.id).filter(|id| !id.is_empty())?)),
             address,
-            zone: tag(text(&self.zone).unwrap_or("")) as u32,
-            cell: self.cell.as_ref().and_then(Scalar::whole).unwrap_or(0) as u32,
-            kind: tag(text(&self.kind).unwrap_or("")) as u32,
+            zone: name_hash(field_text(&self.zone).unwrap_or("")) as u32,
+            cell: self.cell.as_ref().and_then(Scalar::unsigned).unwrap_or(0) as u32,
+            kind: name_hash(field_text(&self.kind).unwrap_or("")) as u32,
             power: self.size.as_ref().and_then(Scalar::number).unwrap_or(1.0),
             started_at: (started > 0.0).then_some(started),
-            readiness: match text(&self.phase)? {
+            readiness: match field_text(&self.phase)? {
                 "in_service" => Readiness::Ready,
                 "terminating" => Readiness::Draining,
                 "terminated" => Readiness::Gone,
@@ -183,9 +185,9 @@
     }
 }
 
-struct AnyEntry;
+struct EntryVisitor;
 
-impl<'de> Visitor<'de> for AnyEntry {
+impl<'de> Visitor<'de> for EntryVisitor {
     type Value = Entry;
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -214,48 +216,48 @@
         Ok(Entry(fields.target()))
     }
 
-    read_over!(Entry(None); texts numbers truths nothing lists);
+    skip_values!(Entry(None); strings numbers booleans null arrays);
 }
 
 impl<'de> Deserialize<'de> for Entry {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_any(AnyEntry)
+        deserializer.deserialize_any(EntryVisitor)
     }
 }
 
-struct AnyMembers;
+struct EntriesVisitor;
 
-impl<'de> Visitor<'de> for AnyMembers {
-    type Value = Option<Members>;
+impl<'de> Visitor<'de> for EntriesVisitor {
+    type Value = Option<Entries>;
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str("a list")
     }
 
-    fn visit_seq<A: SeqAccess<'de>>(self, mut list: A) -> Result<Option<Members>, A::Error> {
-        let mut members = Members::default();
+    fn visit_seq<A: SeqAccess<'de>>(self, mut list: A) -> Result<Option<Entries>, A::Error> {
+        let mut entries = Entries::default();
         while let Some(Entry(target)) = list.next_element()? {
-            members.count += 1;
-            members.targets.extend(target.filter(|_| members.count <= MOST_MEMBERS));
+            entries.total += 1;
+            entries.targets.extend(target.filter(|_| entries.total <= MAX_ENTRIES));
         }
-        Ok(Some(members))
+        Ok(Some(entries))
     }
 
-    read_over!(None; texts numbers truths nothing objects);
+    skip_values!(None; strings numbers booleans null objects);
 }
 
-/// The entries, where they are a list.
-struct MaybeMembers(Option<Members>);
+/// The entries of a list; `None` if the value is not an array.
+struct OptionalEntries(Option<Entries>);
 
-impl<'de> Deserialize<'de> for MaybeMembers {
+impl<'de> Deserialize<'de> for OptionalEntries {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_any(AnyMembers).map(MaybeMembers)
+        deserializer.deserialize_any(EntriesVisitor).map(OptionalEntries)
     }
 }
 
-struct AnyList;
+struct ListVisitor;
 
-impl<'de> Visitor<'de> for AnyList {
+impl<'de> Visitor<'de> for ListVisitor {
     type Value = List;
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -266,25 +268,25 @@
         let mut list = List::default();
         while let Some(key) = object.next_key::<Scalar>()? {
             match key.text().unwrap_or("") {
-                "revision" => list.revision = object.next_value::<Scalar>()?.whole(),
+                "revision" => list.revision = object.next_value::<Scalar>()?.unsigned(),
                 "complete" => {
                     list.complete = match object.next_value::<Scalar>()? {
-                        Scalar::Truth(complete) => Some(complete),
+                        Scalar::Bool(complete) => Some(complete),
                         _ => None,
                     }
                 }
-                "members" => list.members = object.next_value::<MaybeMembers>()?.0,
+                "members" => list.entries = object.next_value::<OptionalEntries>()?.0,
                 _ => drop(object.next_value::<IgnoredAny>()?),
             }
         }
         Ok(list)
     }
 
-    read_over!(List::default(); texts numbers truths nothing lists);
+    skip_values!(List::default(); strings numbers booleans null arrays);
 }
 
 impl<'de> Deserialize<'de> for List {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_any(AnyList)
+        deserializer.deserialize_any(ListVisitor)
     }
 }
--- a/crates/platform/src/load.rs
+++ b/crates/platform/src/load.rs
@@ -1,12 +1,12 @@
-//! Load reports: `TEXT inflight=7, queue=2, util=0.61`.
+//! Load reports of config servers, for example `TEXT inflight=7, queue=2, util=0.61`.
 
 use hyper::header::{HeaderMap, HeaderName};
 use roseproxy_decision::interface::Load;
 
 const SERVER_LOAD: HeaderName = HeaderName::from_static("server-load");
 
-/// Reads a report; `None` where not one figure in it is known. Other fields are skipped, as new ones
-/// may come.
+/// Reads a report, and returns `None` if it has no known field with a valid value. Unknown fields are
+/// skipped, because servers may add new ones.
 pub fn read(text: &str) -> Option<Load> {
     let text = text.trim();
     let text = text.strip_prefix("TEXT").unwrap_or(text);
@@ -14,7 +14,7 @@
     for pair in text.split(',') {
         let Some((name, value)) = pair.split_once('=') else { continue };
         let Ok(value) = value.trim().parse::<f64>() else { continue };
-        // Not a number, or less than nothing: no figure to decide by.
+        // Non-finite and negative values cannot be load figures.
         if !value.is_finite() || value < 0.0 {
             continue;
         }
@@ -31,7 +31,7 @@
     (load != Load::default()).then_some(load)
 }
 
-/// The report that came with an answer.
-pub fn of_headers(headers: &HeaderMap) -> Option<Load> {
+/// Reads the report in the headers of a response.
+pub fn from_headers(headers: &HeaderMap) -> Option<Load> {
     headers.get(SERVER_LOAD).and_then(|v| v.to_str().ok()).and_then(read)
 }
--- a/crates/platform/src/outcome.rs
+++ b/crates/platform/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What a target's answer, or the lack of one, says of a forward.
+//! The outcome of a forward, derived from the target's response or from the loss of its connection.
 
 use bytes::Bytes;
 use hyper::header::HeaderName;
@@ -8,20 +8,21 @@
 
 const NOT_STARTED: HeaderName = HeaderName::from_static("not-started");
 
-/// The end of a forward that was answered whole.
-pub fn of_answer(status: StatusCode, headers: &HeaderMap, body: Bytes) -> ForwardEnd {
-    let turned_away = matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT);
+/// Classifies a complete response. Only a 503 or 504 with `Not-Started: 1` counts as a rejection that is
+/// known not to have run.
+pub fn from_answer(status: StatusCode, headers: &HeaderMap, body: Bytes) -> ForwardEnd {
+    let rejected = matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT);
     let not_started = headers.get(NOT_STARTED).is_some_and(|v| v.as_bytes() == b"1");
     match status {
         StatusCode::OK => ForwardEnd::Served(body),
-        _ if turned_away && not_started => ForwardEnd::Lost(Outcome::Rejected),
-        // Whatever it is, nothing proves that the request never ran.
+        _ if rejected && not_started => ForwardEnd::Lost(Outcome::Rejected),
+        // Nothing in any other response proves that the request did not run.
         _ => ForwardEnd::Lost(Outcome::Error),
     }
 }
 
-/// The end of a forward whose connection broke. Only the request's last byte makes it one that may
-/// have run: a target begins no sooner.
-pub fn of_break(last_byte_written: bool) -> ForwardEnd {
+/// Classifies a forward whose connection broke. The request may have run only if its last byte was
+/// written, because a target does not start before it has the complete request.
+pub fn from_disconnect(last_byte_written: bool) -> ForwardEnd {
     ForwardEnd::Lost(if last_byte_written { Outcome::Broken } else { Outcome::Unreachable })
 }
--- a/crates/roseproxy/src/clock.rs
+++ b/crates/roseproxy/src/clock.rs
@@ -1,4 +1,4 @@
-//! The one clock of the program.
+//! The sidecar's only clock.
 
 use roseproxy_routing::time::Now;
 use std::cell::Cell;
@@ -6,55 +6,55 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Milliseconds since the Unix epoch, which every machine of the platform reads alike. It takes the
-/// system's time once and then counts on by itself, so that it never goes back.
+/// A clock in milliseconds since the Unix epoch, so that times of different machines are comparable. It
+/// reads the system's wall clock once and continues with a monotonic clock, so that it never goes back.
 #[derive(Clone, Debug)]
 pub enum Clock {
-    /// The system's.
+    /// Based on the system's clocks.
     System {
-        /// When it was started.
+        /// The instant at which the clock was created.
         origin: Instant,
-        /// What the system's clock said then.
-        epoch: f64,
+        /// The wall-clock time at `origin`, in milliseconds since the Unix epoch.
+        origin_ms: f64,
     },
-    /// One of a world of its own, where the runtime's time is set.
+    /// A clock of a simulation, in which the runtime's time is under control.
     Simulated {
-        /// When it was started.
+        /// The instant at which the clock was created.
         origin: Instant,
-        /// What it said then.
-        epoch: f64,
+        /// The time of the clock at `origin`, in milliseconds since the Unix epoch.
+        origin_ms: f64,
     },
-    /// One that stands until it is set.
+    /// A clock that changes only when it is set.
     Manual(Rc<Cell<f64>>),
 }
 
 impl Clock {
-    /// A running clock.
+    /// A clock that starts at the system's current wall-clock time.
     pub fn system() -> Clock {
-        Clock::System { origin: Instant::now(), epoch: wall_clock() }
+        Clock::System { origin: Instant::now(), origin_ms: wall_clock() }
     }
 
-    /// A running clock that begins at this time: of a world of its own, where the runtime's time is set.
-    pub fn from(epoch: f64) -> Clock {
-        Clock::Simulated { origin: Instant::now(), epoch }
+    /// A clock of a simulation that starts at this time.
+    pub fn simulated(origin_ms: f64) -> Clock {
+        Clock::Simulated { origin: Instant::now(), origin_ms }
     }
 
-    /// A clock that stands at this time.
-    pub fn manual(millis: f64) -> Clock {
-        Clock::Manual(Rc::new(Cell::new(millis)))
+    /// A clock that stays at this time until it is set.
+    pub fn manual(now_ms: f64) -> Clock {
+        Clock::Manual(Rc::new(Cell::new(now_ms)))
     }
 
-    /// The time.
+    /// The current time in milliseconds since the Unix epoch.
     pub fn now(&self) -> f64 {
         match self {
-            Clock::System { origin, epoch } | Clock::Simulated { origin, epoch } => {
-                epoch + origin.elapsed().as_secs_f64() * 1000.0
+            Clock::System { origin, origin_ms } | Clock::Simulated { origin, origin_ms } => {
+                origin_ms + origin.elapsed().as_secs_f64() * 1000.0
             }
-            Clock::Manual(at) => at.get(),
+            Clock::Manual(now_ms) => now_ms.get(),
         }
     }
 
-    /// What the system's wall clock says, which may be stepped; of other clocks, the time.
+    /// The system's wall-clock time, which may be stepped. Simulated and manual clocks return [`Clock::now`].
     pub fn wall(&self) -> f64 {
         match self {
             Clock::System { .. } => wall_clock(),
@@ -62,27 +62,27 @@
         }
     }
 
-    /// Sets a clock that stands; a running one goes its own way.
-    pub fn set(&self, millis: f64) {
-        if let Clock::Manual(at) = self {
-            at.set(millis);
+    /// Sets a manual clock; the other clocks are not affected.
+    pub fn set(&self, now_ms: f64) {
+        if let Clock::Manual(current) = self {
+            current.set(now_ms);
         }
     }
 
-    /// What the lower layers read it by.
+    /// Returns a function that reads [`Clock::now`], for the lower layers.
     pub fn reader(&self) -> Now {
         let clock = self.clone();
         Rc::new(move || clock.now())
     }
 
-    /// What the lower layers read the wall clock by.
+    /// Returns a function that reads [`Clock::wall`], for the lower layers.
     pub fn wall_reader(&self) -> Now {
         let clock = self.clone();
         Rc::new(move || clock.wall())
     }
 }
 
-/// Milliseconds since the Unix epoch by the system's wall clock.
+/// The system's wall-clock time in milliseconds since the Unix epoch.
 fn wall_clock() -> f64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64() * 1000.0)
 }
--- a/crates/roseproxy/src/config.rs
+++ b/crates/roseproxy/src/config.rs
@@ -1,67 +1,69 @@
-//! The one place where configuration is read, checked and given defaults.
+//! Reads and validates the sidecar's configuration and applies its defaults.
 
 use roseproxy_decision::interface::Settings;
-use roseproxy_platform::discovery::{self, Listing};
-use roseproxy_platform::wire::{read_settings, Dialect};
+use roseproxy_platform::discovery::{self, ListUpdate};
+use roseproxy_platform::wire::{read_settings, ProtocolNames};
 use serde_json::Value;
 use std::fmt;
 use std::io;
 use std::net::SocketAddr;
 
-/// Fewest sockets that serving works with.
-const FEWEST_SOCKETS: u64 = 64;
-/// Sockets where the configuration sets no limit.
-const USUAL_SOCKETS: u64 = 1024;
+/// Smallest limit on sockets with which the sidecar can serve.
+const MIN_SOCKETS: u64 = 64;
+/// Limit on sockets if the configuration sets none.
+const DEFAULT_SOCKETS: u64 = 1024;
+/// A larger configured limit on sockets is reduced to this one.
+const MAX_SOCKETS: u64 = 1 << 20;
 
-/// How often a start reads a file again that ends too early (a tenth of a second each).
-const TRIES_OF_INCOMPLETE: u32 = 10;
+/// How often startup reads an incomplete file again, at intervals of 0.1 s.
+const INCOMPLETE_FILE_RETRIES: u32 = 10;
 
-/// What a sidecar is told.
+/// The configuration of a sidecar.
 #[derive(Debug)]
 pub struct Config {
-    /// Its name, the same after a restart.
+    /// Name of the sidecar, which stays the same after a restart.
     pub name: String,
-    /// Where clients connect.
+    /// Address that clients connect to.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// For random numbers; new with each start.
+    /// Seed of the random numbers, different at each start.
     pub seed: u64,
-    /// Descriptors that it may hold.
+    /// Maximum number of open file descriptors.
     pub sockets: usize,
-    /// The target group as it was known last, where it was.
-    pub known: Option<Listing>,
-    /// The platform's figures.
+    /// The last known list of the target group, if there is one.
+    pub known: Option<ListUpdate>,
+    /// The settings of the platform, for the decision module.
     pub settings: Settings,
-    /// How the platform names classes.
-    pub dialect: Dialect,
-    /// The file itself but for the list, to tell later what a new one changes.
+    /// The names of classes, tenants and report values in the settings.
+    pub names: ProtocolNames,
+    /// The content of the file without the known list, to detect later which keys a reload changes.
     pub file: Value,
 }
 
-/// Why there is no configuration.
+/// Why no configuration could be loaded.
 #[derive(Debug)]
 pub enum ConfigError {
-    /// The file could not be opened or read, which may be different in a moment.
+    /// The file could not be opened or read. The cause may be temporary.
     Unreadable {
-        /// Its path.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// The error of the system.
         error: io::Error,
     },
-    /// The file ends too early, as one does that is just being written.
+    /// The file ends too early, as it does while it is being written.
     Incomplete(String),
-    /// What it says is missing or wrong; names the key.
+    /// A key is missing or has an invalid value; the text names the key.
     Faulty(String),
 }
 
 impl ConfigError {
-    /// How often a start reads the file again: where descriptors are short, or the file may be just being written. One that
-    /// is not there is none.
-    pub fn tries(&self) -> u32 {
+    /// How often startup reads the file again. It does so for temporary errors, such as a shortage of file
+    /// descriptors, and for a file that may still be being written, but not for a file that does not exist.
+    pub fn max_retries(&self) -> u32 {
         match self {
-            ConfigError::Unreadable { error, .. } => super::startup::tries(error),
-            ConfigError::Incomplete(_) => TRIES_OF_INCOMPLETE,
+            ConfigError::Unreadable { error, .. } => super::startup_retry::max_retries(error),
+            ConfigError::Incomplete(_) => INCOMPLETE_FILE_RETRIES,
             ConfigError::Faulty(_) => 0,
         }
     }
@@ -89,8 +91,8 @@
 }
 
 impl Config {
-    /// Reads the file that `LB_CONFIG` names; `LB_NAME`, `LB_LISTEN` and `LB_DISCOVERY` stand in for
-    /// keys that it lacks.
+    /// Reads the file that `LB_CONFIG` names. `LB_NAME`, `LB_LISTEN` and `LB_DISCOVERY` are used for keys
+    /// that the file lacks; `variable` reads an environment variable.
     pub fn load(variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         let path = variable("LB_CONFIG").ok_or("LB_CONFIG is not set")?;
         match std::fs::read_to_string(&path) {
@@ -102,22 +104,23 @@
         }
     }
 
-    /// Reads a configuration's text.
+    /// Reads a configuration from its JSON text; `variable` reads an environment variable.
     pub fn read(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
         let mut all: Value = serde_json::from_str(text).map_err(|e| format!("LB_CONFIG is not JSON: {e}"))?;
         if !all.is_object() {
             return Err("LB_CONFIG is no JSON object".into());
         }
-        let text = |key: &str, stand_in: &str| match all.get(key) {
+        let text = |key: &str, variable_name: &str| match all.get(key) {
             Some(value) => value.as_str().map(str::to_owned).ok_or_else(|| format!("{key} is not a text")),
-            None => variable(stand_in).ok_or_else(|| format!("{key} is missing, and {stand_in} is not set")),
+            None => variable(variable_name)
+                .ok_or_else(|| format!("{key} is missing, and {variable_name} is not set")),
         };
-        let address = |key: &str, stand_in: &str| {
-            let text = text(key, stand_in)?;
+        let address = |key: &str, variable_name: &str| {
+            let text = text(key, variable_name)?;
             text.parse().map_err(|_| format!("{key} is not an address with a port: {text}"))
         };
         let settings = all.get("settings").ok_or("settings is missing")?;
-        let (settings, dialect) = read_settings(settings)?;
+        let (settings, names) = read_settings(settings)?;
         let config = Config {
             name: text("name", "LB_NAME")?,
             listen: address("listen", "LB_LISTEN")?,
@@ -129,16 +132,16 @@
                 Some(known) => Some(discovery::from_json(known).map_err(|e| format!("known: {e}"))?),
             },
             settings,
-            dialect,
+            names,
             file: Value::Null,
         };
-        // Thousands of entries, which nothing is ever held against.
+        // The known list has thousands of entries and is never compared with that of a new file.
         all.as_object_mut().and_then(|all| all.remove("known"));
         Ok(Config { file: all, ..config })
     }
 }
 
-/// Whether more of this text would make JSON of it.
+/// Whether the text is a truncated JSON document.
 fn ends_too_early(text: &str) -> bool {
     serde_json::from_str::<Value>(text).is_err_and(|error| error.is_eof())
 }
@@ -151,11 +154,11 @@
 
 fn sockets(all: &Value) -> Result<usize, String> {
     match all.get("limits").and_then(|limits| limits.get("sockets")) {
-        None => Ok(USUAL_SOCKETS as usize),
+        None => Ok(DEFAULT_SOCKETS as usize),
         Some(sockets) => sockets
             .as_u64()
-            .filter(|n| *n >= FEWEST_SOCKETS)
-            .map(|n| n.min(1 << 20) as usize)
-            .ok_or_else(|| format!("limits.sockets is not a whole number from {FEWEST_SOCKETS}")),
+            .filter(|n| *n >= MIN_SOCKETS)
+            .map(|n| n.min(MAX_SOCKETS) as usize)
+            .ok_or_else(|| format!("limits.sockets is not a whole number from {MIN_SOCKETS}")),
     }
 }
--- a/crates/roseproxy/src/counters.rs
+++ b/crates/roseproxy/src/counters.rs
@@ -1,11 +1,11 @@
-//! The counters as text: one `name value` a line, at exit and on request.
+//! Text form of the counters, used at exit and in answers to `/health/counters`: one `name value` per line.
 
 use std::fmt::Write;
 
-/// Prints counts.
-pub fn print(counts: &[(String, u64)]) -> String {
-    counts.iter().fold(String::new(), |mut text, (name, count)| {
-        // Writing to a text cannot fail.
+/// Formats counters, one per line.
+pub fn to_text(counters: &[(String, u64)]) -> String {
+    counters.iter().fold(String::new(), |mut text, (name, count)| {
+        // Writing to a String cannot fail.
         let _ = writeln!(text, "{name} {count}");
         text
     })
--- a/crates/roseproxy/src/log.rs
+++ b/crates/roseproxy/src/log.rs
@@ -1,7 +1,7 @@
-//! The log: lines on standard error, which neither hold the program up nor end it.
+//! The log on standard error, written without ever blocking or ending the process.
 //!
-//! `eprintln!` panics where standard error fails (a full disk, a reader that has gone), and waits where nobody reads a
-//! full pipe; the program has one thread. Here a line that cannot be written at once is dropped and counted.
+//! `eprintln!` panics if standard error fails (a full disk, a closed pipe), and blocks on a full pipe, which
+//! would stall the only thread of the sidecar. This log drops and counts lines that cannot be written at once.
 
 use roseproxy_transport::errno::ENOTSOCK;
 use std::cell::Cell;
@@ -10,67 +10,71 @@
 use std::os::unix::fs::OpenOptionsExt;
 use std::time::Duration;
 
-/// Has opens and writes fail in place of waiting (Linux: `O_NONBLOCK`).
-const NON_BLOCKING: i32 = 0o4000;
-/// The same for one send on a socket (Linux: `MSG_DONTWAIT`).
-const DO_NOT_WAIT: i32 = 0x40;
-/// Where Linux lets a process open its standard error anew, so that other processes' share of it stays as it is.
-const STANDARD_ERROR: &str = "/proc/self/fd/2";
-/// How often the last lines are tried, and how long each time waits: a reader may just be slow.
-const LAST_TRIES: (u32, Duration) = (20, Duration::from_millis(5));
+/// Makes opens and writes fail instead of blocking (Linux).
+const O_NONBLOCK: i32 = 0o4000;
+/// Makes one send on a socket fail instead of blocking (Linux).
+const MSG_DONTWAIT: i32 = 0x40;
+/// Path by which a Linux process opens its standard error again. Other processes that share standard error
+/// are not affected by the non-blocking mode of the new descriptor.
+const STDERR_PATH: &str = "/proc/self/fd/2";
+/// How often writes of the final lines are retried in total, because the reader may only be slow.
+const FINAL_WRITE_RETRIES: u32 = 20;
+/// Pause before each retry of a final line.
+const FINAL_WRITE_PAUSE: Duration = Duration::from_millis(5);
 
-/// How standard error is written.
+/// How standard error is written to.
 #[derive(Debug)]
 enum Output {
-    /// Opened anew: a file, a terminal or a pipe.
-    Opened(File),
-    /// As it is: a socket, or what cannot be opened.
+    /// Through a descriptor of its own: a file, a terminal or a pipe.
+    Reopened(File),
+    /// Through the inherited descriptor: a socket, or anything that cannot be opened again.
     Inherited,
 }
 
-/// The log.
+/// The log on standard error.
 #[derive(Debug)]
 pub struct Log {
     output: Output,
-    lost: Cell<u64>,
+    lines_lost: Cell<u64>,
 }
 
 impl Log {
-    /// The log on standard error.
+    /// Opens the log.
     pub fn open() -> Log {
-        let opened = OpenOptions::new().append(true).custom_flags(NON_BLOCKING).open(STANDARD_ERROR);
-        let output = opened.map_or(Output::Inherited, Output::Opened);
-        Log { output, lost: Cell::new(0) }
+        let opened = OpenOptions::new().append(true).custom_flags(O_NONBLOCK).open(STDERR_PATH);
+        let output = opened.map_or(Output::Inherited, Output::Reopened);
+        Log { output, lines_lost: Cell::new(0) }
     }
 
-    /// Writes a line, or drops it.
-    pub fn say(&self, line: &str) {
+    /// Writes a line, or drops and counts it if it cannot be written at once.
+    pub fn write_line(&self, line: &str) {
         if self.write(format!("roseproxy: {line}\n").as_bytes()).is_err() {
-            self.lost.set(self.lost.get() + 1);
+            self.lines_lost.set(self.lines_lost.get() + 1);
         }
     }
 
-    /// Writes what is said last, a line at a time; a slow reader is given a moment.
-    pub fn say_last(&self, text: &str) {
-        let (mut tries, pause) = LAST_TRIES;
+    /// Writes the final lines of the process, with a few retries for a slow reader.
+    pub fn write_final(&self, text: &str) {
+        let mut retries = FINAL_WRITE_RETRIES;
         for line in text.split_inclusive('\n') {
-            while tries > 0 && self.write(line.as_bytes()).is_err_and(|e| e.kind() == ErrorKind::WouldBlock) {
-                tries -= 1;
-                std::thread::sleep(pause);
+            while retries > 0 && self.write(line.as_bytes()).is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
+            {
+                retries -= 1;
+                std::thread::sleep(FINAL_WRITE_PAUSE);
             }
         }
     }
 
-    /// Lines dropped so far.
-    pub fn lost(&self) -> u64 {
-        self.lost.get()
+    /// Number of lines dropped so far.
+    pub fn lines_lost(&self) -> u64 {
+        self.lines_lost.get()
     }
 
-    /// Writes all of it at once; what is left of a part that was taken is dropped.
+    /// Makes one write; if it writes only a part, the rest is dropped and an error returned.
     fn write(&self, bytes: &[u8]) -> io::Result<()> {
         let written = match &self.output {
-            Output::Opened(file) => (&*file).write(bytes),
-            Output::Inherited => inherited(bytes),
+            Output::Reopened(file) => (&*file).write(bytes),
+            Output::Inherited => write_inherited(bytes),
         };
         match written {
             Ok(count) if count < bytes.len() => Err(ErrorKind::WriteZero.into()),
@@ -80,12 +84,12 @@
     }
 }
 
-/// Writes to standard error as it is; on a socket without waiting.
-fn inherited(bytes: &[u8]) -> io::Result<usize> {
-    let error = io::stderr();
-    let sent = socket2::SockRef::from(&error).send_with_flags(bytes, DO_NOT_WAIT);
+/// Writes to the inherited standard error; on a socket without blocking.
+fn write_inherited(bytes: &[u8]) -> io::Result<usize> {
+    let stderr = io::stderr();
+    let sent = socket2::SockRef::from(&stderr).send_with_flags(bytes, MSG_DONTWAIT);
     match sent {
-        Err(e) if e.raw_os_error() == Some(ENOTSOCK) => error.lock().write(bytes),
+        Err(e) if e.raw_os_error() == Some(ENOTSOCK) => stderr.lock().write(bytes),
         sent => sent,
     }
 }
--- a/crates/roseproxy/src/shutdown.rs
+++ b/crates/roseproxy/src/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: serves on for a moment, drains the open requests, and answers as failed what is still open
-//! shortly before the platform kills the process.
+//! Graceful shutdown: keeps serving briefly, drains the open requests, and answers the rest as failed shortly
+//! before the platform kills the process.
 
 use super::Clock;
 use roseproxy_decision::interface::Settings;
@@ -10,57 +10,58 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long after SIGTERM the sidecar serves as before, as clients still open connections (ms).
-const SERVE_ON: f64 = 550.0;
-/// How long no client connection may have come in before the process ends (ms).
-const QUIET: f64 = 150.0;
-/// The platform sends SIGKILL this long after the longest deadline (ms).
-const KILL_AFTER_DEADLINE: f64 = 700.0;
-/// A longer deadline counts as this one when the platform sets the time of SIGKILL (ms).
-const LONGEST_DEADLINE: f64 = 3_000.0;
-/// How long before SIGKILL the requests that are still open are answered as failed (ms): longer than the platform may hold up the
-/// process, so that this is done in time.
-const FAIL_OPEN_BEFORE_KILL: f64 = 200.0;
-/// How long before SIGKILL the process ends (ms).
-const EXIT_BEFORE_KILL: f64 = 30.0;
-/// How often the drain looks whether it is complete (ms).
-const POLL_INTERVAL: f64 = 20.0;
+/// How long the sidecar serves as before after SIGTERM, because clients still open connections.
+const SERVE_AFTER_SIGTERM_MS: f64 = 550.0;
+/// How long no client may have connected before the process exits.
+const NO_NEW_CLIENTS_MS: f64 = 150.0;
+/// Time between the longest deadline and the SIGKILL of the platform.
+const KILL_AFTER_DEADLINE_MS: f64 = 700.0;
+/// Upper limit of the longest deadline when the platform computes the time of SIGKILL.
+const MAX_DEADLINE_MS: f64 = 3_000.0;
+/// How long before SIGKILL the open requests are answered as failed. It is longer than the platform may pause
+/// the process, so that this happens in time.
+const FAIL_OPEN_BEFORE_KILL_MS: f64 = 200.0;
+/// How long before SIGKILL the process exits.
+const EXIT_BEFORE_KILL_MS: f64 = 30.0;
+/// Interval at which the drain checks whether it is complete.
+const POLL_INTERVAL_MS: f64 = 20.0;
 
-/// The time from SIGTERM to the platform's SIGKILL (ms), by the longest deadline of the settings.
+/// Returns the time in milliseconds from SIGTERM to the SIGKILL of the platform, which depends on the longest
+/// deadline in the settings.
 pub fn kill_after(settings: &Settings) -> f64 {
     let longest = settings.classes.iter().map(|class| to_millis(class.give_up)).fold(0.0, f64::max);
-    longest.min(LONGEST_DEADLINE) + KILL_AFTER_DEADLINE
+    longest.min(MAX_DEADLINE_MS) + KILL_AFTER_DEADLINE_MS
 }
 
-/// Drains the sidecar after SIGTERM: serves on while clients still come, answers all that was taken, and returns when
-/// that is done or SIGKILL is near, `kill_after` milliseconds after the call. Returns how many requests were answered
-/// as failed for want of time.
+/// Drains the sidecar after SIGTERM: keeps serving while clients still connect, answers all accepted requests, and
+/// returns when that is done or SIGKILL is near, which arrives `kill_after` milliseconds after the call. Returns how
+/// many requests were answered as failed because the time ran out.
 pub async fn drain<N: Network>(
     clock: &Clock,
     listener: &Rc<Listener<N>>,
     gateway: &Rc<Gateway<N>>,
     kill_after: f64,
 ) -> usize {
-    let killed_at = clock.now() + kill_after;
+    let killed_at_ms = clock.now() + kill_after;
     listener.enter(Phase::Leaving);
-    sleep(SERVE_ON).await;
+    sleep(SERVE_AFTER_SIGTERM_MS).await;
     listener.enter(Phase::Closing);
-    let drained = || gateway.open_flows() == 0 && listener.quiet_for(QUIET);
-    until(clock, killed_at - FAIL_OPEN_BEFORE_KILL, drained).await;
-    // What is open near SIGKILL would be lost with the process, and so would what comes only now, on a connection that has
-    // waited for a place: from here on nothing is open for longer than it takes to answer it.
+    let drained = || gateway.open_flows() == 0 && listener.quiet_for(NO_NEW_CLIENTS_MS);
+    wait_until(clock, killed_at_ms - FAIL_OPEN_BEFORE_KILL_MS, drained).await;
+    // Requests still open at SIGKILL would be lost with the process, and so would requests that arrive only now, on a
+    // connection that had to wait for a free slot. From here on, every request is answered at once.
     let failed = gateway.end();
-    until(clock, killed_at - EXIT_BEFORE_KILL, drained).await;
+    wait_until(clock, killed_at_ms - EXIT_BEFORE_KILL_MS, drained).await;
     failed
 }
 
-/// Waits until something holds, at most until a time of the clock (ms).
-async fn until(clock: &Clock, latest: f64, holds: impl Fn() -> bool) {
-    while clock.now() < latest && !holds() {
-        sleep(POLL_INTERVAL).await;
+/// Waits until the condition holds, but not beyond the time `latest_ms` of the clock.
+async fn wait_until(clock: &Clock, latest_ms: f64, condition: impl Fn() -> bool) {
+    while clock.now() < latest_ms && !condition() {
+        sleep(POLL_INTERVAL_MS).await;
     }
 }
 
-async fn sleep(millis: f64) {
-    tokio::time::sleep(Duration::from_secs_f64(millis / 1e3)).await;
+async fn sleep(duration_ms: f64) {
+    tokio::time::sleep(Duration::from_secs_f64(duration_ms / 1e3)).await;
 }
--- a/crates/roseproxy/src/signals.rs
+++ b/crates/roseproxy/src/signals.rs
@@ -1,11 +1,11 @@
-//! Signals: to end, and to read the configuration again.
+//! Control requests to the running sidecar, from process signals or from a channel: shutdown and reload.
 
 use std::future::Future;
 use std::io;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// The signals that the program heeds, caught from the moment this is made: one that comes while the
-/// program still starts, or while it reads a configuration, is found waiting.
+/// Handlers of the signals that control the sidecar. From installation on, a signal that arrives during startup
+/// or while a configuration is being read is kept until it is handled.
 #[derive(Debug)]
 pub struct Signals {
     term: Signal,
@@ -13,18 +13,18 @@
     hup: Signal,
 }
 
-/// What a signal asks for.
+/// A control request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
-    /// SIGTERM or, from a terminal, SIGINT: end in order.
-    End,
+pub enum Control {
+    /// SIGTERM or, from a terminal, SIGINT: shut down gracefully.
+    Shutdown,
     /// SIGHUP: the configuration was replaced.
     Reload,
 }
 
 impl Signals {
-    /// Catches them. Left alone, each of them would end the program at once.
-    pub fn catch() -> io::Result<Signals> {
+    /// Installs the handlers. Without them, each of these signals would end the process at once.
+    pub fn install() -> io::Result<Signals> {
         Ok(Signals {
             term: signal(SignalKind::terminate())?,
             int: signal(SignalKind::interrupt())?,
@@ -33,27 +33,27 @@
     }
 }
 
-/// Where the program hears what it is asked for.
-pub trait Asking {
-    /// Waits for the next thing asked.
-    fn next(&mut self) -> impl Future<Output = Asked>;
+/// A source of control requests.
+pub trait ControlSource {
+    /// Waits for the next control request.
+    fn next(&mut self) -> impl Future<Output = Control>;
 }
 
-impl Asking for Signals {
-    async fn next(&mut self) -> Asked {
+impl ControlSource for Signals {
+    async fn next(&mut self) -> Control {
         tokio::select! {
-            // The end wins where both wait.
+            // If several signals are pending, shutdown takes precedence.
             biased;
-            _ = self.term.recv() => Asked::End,
-            _ = self.int.recv() => Asked::End,
-            _ = self.hup.recv() => Asked::Reload,
+            _ = self.term.recv() => Control::Shutdown,
+            _ = self.int.recv() => Control::Shutdown,
+            _ = self.hup.recv() => Control::Reload,
         }
     }
 }
 
-impl Asking for tokio::sync::mpsc::UnboundedReceiver<Asked> {
-    /// Who holds the program in hand has let go of it: it ends.
-    async fn next(&mut self) -> Asked {
-        self.recv().await.unwrap_or(Asked::End)
+impl ControlSource for tokio::sync::mpsc::UnboundedReceiver<Control> {
+    /// Waits for the next control request. A closed channel means shutdown, as the controlling side is gone.
+    async fn next(&mut self) -> Control {
+        self.recv().await.unwrap_or(Control::Shutdown)
     }
 }
--- a/crates/roseproxy/tests/common/mod.rs
+++ b/crates/roseproxy/tests/common/mod.rs
@@ -6,8 +6,8 @@
 pub mod gated;
 pub mod registry;
 
-use roseproxy::signals::Asked;
-use roseproxy::start::{serve as serve_program, Surroundings};
+use roseproxy::serve::{serve as serve_program, Environment};
+use roseproxy::signals::Control;
 use roseproxy::{config::Config, Clock};
 use roseproxy_decision::interface::Update;
 use roseproxy_platform::discovery;
@@ -134,7 +134,7 @@
     endpoints: &[SocketAddr],
     descriptors: usize,
 ) -> Rc<Gateway<N>> {
-    let classes = Classes::new(config.dialect, config.settings.classes.clone());
+    let classes = Classes::new(config.names, config.settings.classes.clone());
     let gateway = Gateway::new(network, host, classes, Budget::new(descriptors), clock.reader());
     gateway.set_wall_clock(clock.wall_reader());
     let in_service: Vec<_> = endpoints.iter().map(|e| (*e, "in_service")).collect();
@@ -311,16 +311,16 @@
 }
 
 /// What stands round the program: this network, the system's clock, and nobody who reads its log.
-pub fn surroundings<N: Network>(network: N) -> Surroundings<N> {
+pub fn surroundings<N: Network>(network: N) -> Environment<N> {
     let say = Rc::new(|_: &str| {});
-    Surroundings { network, clock: Clock::system(), say, decider: None, print_events: false }
+    Environment { network, clock: Clock::system(), log: say, decider: None, print_events: false }
 }
 
 /// Lets the whole program run from a configuration.
 pub fn program<N: Network>(
     network: N,
     config: Config,
-) -> (tokio::task::JoinHandle<Result<String, String>>, tokio::sync::mpsc::UnboundedSender<Asked>) {
+) -> (tokio::task::JoinHandle<Result<String, String>>, tokio::sync::mpsc::UnboundedSender<Control>) {
     let (ask, asked) = unbounded_channel();
     (spawn_local(serve_program(config, surroundings(network), asked, || Err("no reload".into()))), ask)
 }
--- a/crates/roseproxy/tests/crossed_faults.rs
+++ b/crates/roseproxy/tests/crossed_faults.rs
@@ -23,7 +23,7 @@
 
 /// The clock of a program that started before the wall clock was stepped by this much (ms).
 fn stepped_by(step: f64) -> Clock {
-    Clock::System { origin: tokio::time::Instant::now(), epoch: wall_clock() - step }
+    Clock::System { origin: tokio::time::Instant::now(), origin_ms: wall_clock() - step }
 }
 
 /// Of so many requests the part that goes to an endpoint that starts as they begin, beside a warm one, where the wall
--- a/crates/roseproxy/tests/crossings.rs
+++ b/crates/roseproxy/tests/crossings.rs
@@ -5,7 +5,7 @@
 
 use common::gated::Gated;
 use common::*;
-use roseproxy::signals::Asked;
+use roseproxy::signals::Control;
 use roseproxy::{config::Config, Clock};
 use roseproxy_decision::interface::{Action, Event, Micros};
 use roseproxy_routing::decide::Decider;
@@ -263,7 +263,7 @@
             turns().await;
             let mut client = asks(address, &request("place-order", "1", "a")).await;
             let asked = tokio::time::Instant::now();
-            ask.send(Asked::End).expect("it runs");
+            ask.send(Control::Shutdown).expect("it runs");
             let answer = spawn_local(async move { message(&mut client).await });
             let counts = ended.await.expect("no panic").expect("ends in order");
             let took = asked.elapsed().as_secs_f64() * 1000.0;
@@ -322,7 +322,7 @@
             answers.push(spawn_local(async move { message(&mut client).await }));
             turns().await;
         }
-        ask.send(Asked::End).expect("it runs");
+        ask.send(Control::Shutdown).expect("it runs");
         let counts = ended.await.expect("no panic").expect("ends in order");
         assert!(counts.contains("flows_taken 2\n") && counts.contains("flows_open 0\n"), "{counts}");
         for answer in answers {
@@ -575,7 +575,8 @@
         )
         .await
         .expect("open");
-        let outgoing = roseproxy_platform::request::Outgoing::get(&format!("/{}", "x".repeat(500)), "a");
+        let outgoing =
+            roseproxy_platform::request::OutgoingRequest::get(&format!("/{}", "x".repeat(500)), "a");
         let exchange = spawn_local(async move { connection.exchange(outgoing).await });
         turns().await;
         far.write_all(OK.as_bytes()).await.expect("written");
--- a/crates/roseproxy/tests/descriptors.rs
+++ b/crates/roseproxy/tests/descriptors.rs
@@ -6,7 +6,7 @@
 use common::registry::{Loopback, Outage, Registry};
 use common::*;
 use roseproxy::config::Config;
-use roseproxy::start::serve;
+use roseproxy::serve::serve;
 use roseproxy_transport::budget::{Budget, Permit};
 use roseproxy_transport::network::{Network, Peek};
 use serde_json::json;
--- a/crates/roseproxy/tests/last_moments.rs
+++ b/crates/roseproxy/tests/last_moments.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use roseproxy::config::Config;
-use roseproxy::signals::Asked;
+use roseproxy::signals::Control;
 use roseproxy_transport::network::Tcp;
 use serde_json::json;
 use std::time::Duration;
@@ -30,7 +30,7 @@
             let address = config.listen;
             let (ended, ask) = program(Tcp, config);
             turns().await;
-            ask.send(Asked::End).expect("it runs");
+            ask.send(Control::Shutdown).expect("it runs");
             turns().await;
             // One that hangs, so that the process does not end sooner.
             sleep(Duration::from_millis(600)).await;
--- a/crates/roseproxy/tests/protocol.rs
+++ b/crates/roseproxy/tests/protocol.rs
@@ -4,7 +4,7 @@
 use hyper::{HeaderMap, Request, StatusCode};
 use roseproxy::config::Config;
 use roseproxy_decision::interface::{Outcome, Readiness, Update};
-use roseproxy_platform::request::{oversized, Classes, Malformed};
+use roseproxy_platform::request::{exceeds_body_limit, Classes, Malformed};
 use roseproxy_platform::{answer, discovery, load, outcome};
 use roseproxy_routing::flow::{Answer, ForwardEnd, NewFlow};
 use serde_json::{json, Value};
@@ -39,7 +39,7 @@
 
 fn read(request: hyper::http::request::Builder) -> Result<NewFlow, Malformed> {
     let config = read_config(&config()).expect("a good configuration");
-    let classes = Classes::new(config.dialect, config.settings.classes);
+    let classes = Classes::new(config.names, config.settings.classes);
     classes.read(&request.body(()).expect("well-formed").into_parts().0)
 }
 
@@ -51,7 +51,7 @@
 fn a_head_says_class_key_and_time() {
     let new = read(quote().header("Request-Class", "quote")).expect("good");
     assert_eq!((new.class, new.time_left), (0, 480.0));
-    assert_eq!(new.key, Some(roseproxy_platform::wire::tag("7f3a")));
+    assert_eq!(new.key, Some(roseproxy_platform::wire::name_hash("7f3a")));
     let new = read(Request::post("/place-order").header("Request-Id", "9b1f")).expect("good");
     assert_eq!((new.class, new.key, new.time_left), (1, None, 2000.0));
 }
@@ -90,7 +90,7 @@
     assert_eq!(status(keyed().header("Idempotency-Key", "5c0f").header("Idempotency-Key", "5c10")), 400);
     let mut headers = HeaderMap::new();
     headers.insert("content-length", "65537".parse().expect("a value"));
-    assert!(oversized(&headers));
+    assert!(exceeds_body_limit(&headers));
 }
 
 #[test]
@@ -100,7 +100,7 @@
         if not_started {
             headers.insert("not-started", "1".parse().expect("a value"));
         }
-        outcome::of_answer(StatusCode::from_u16(status).expect("a status"), &headers, Bytes::new())
+        outcome::from_answer(StatusCode::from_u16(status).expect("a status"), &headers, Bytes::new())
     };
     assert_eq!(end(200, false), ForwardEnd::Served(Bytes::new()));
     assert_eq!(end(503, true), ForwardEnd::Lost(Outcome::Rejected));
@@ -110,8 +110,8 @@
     {
         assert_eq!(end(status, not_started), ForwardEnd::Lost(Outcome::Error), "{status}");
     }
-    assert_eq!(outcome::of_break(true).outcome(), Outcome::Broken);
-    assert_eq!(outcome::of_break(false).outcome(), Outcome::Unreachable);
+    assert_eq!(outcome::from_disconnect(true).outcome(), Outcome::Broken);
+    assert_eq!(outcome::from_disconnect(false).outcome(), Outcome::Unreachable);
 }
 
 #[test]
@@ -128,12 +128,12 @@
     let list = |members: Value| json!({"revision": 43, "complete": true, "members": members}).to_string();
     let members = json!([member("a", "in_service"), member("b", "terminating"), member("c", "terminated")]);
     let all = discovery::read(list(members).as_bytes()).expect("a list");
-    assert_eq!((all.revision, all.update, all.unread), (43, Update::Complete, 0));
+    assert_eq!((all.revision, all.update, all.unreadable_entries), (43, Update::Complete, 0));
     let phases: Vec<_> = all.targets.iter().map(|t| t.readiness).collect();
     assert_eq!(phases, [Readiness::Ready, Readiness::Draining, Readiness::Gone]);
     let broken = json!([member("a", "in_service"), member("b", "dozing"), {"id": "d"}, 7]);
     let some = discovery::read(list(broken).as_bytes()).expect("a list");
-    assert_eq!((some.update, some.targets.len(), some.unread), (Update::Changes, 1, 3));
+    assert_eq!((some.update, some.targets.len(), some.unreadable_entries), (Update::Changes, 1, 3));
     for bad in ["", "{", "[]", "{}", r#"{"revision":-1,"complete":true,"members":[]}"#] {
         assert!(discovery::read(bad.as_bytes()).is_err(), "{bad}");
     }
@@ -141,15 +141,15 @@
 
 #[test]
 fn answers_say_what_they_must() {
-    let served = answer::to_client(Answer::Served(Bytes::from_static(b"\x00\xff priced")));
+    let served = answer::to_reply(Answer::Served(Bytes::from_static(b"\x00\xff priced")));
     assert_eq!(served.status(), 200);
-    let refused = answer::to_client(Answer::Refused { retry_after: 250.0 });
+    let refused = answer::to_reply(Answer::Refused { retry_after: 250.0 });
     assert_eq!(
         (refused.status().as_u16(), &refused.headers()["retry-after"]),
         (503, &"0.250".parse().expect("value"))
     );
-    assert!(!answer::to_client(Answer::Refused { retry_after: 0.0 }).headers().contains_key("retry-after"));
-    let failed = answer::to_client(Answer::Failed).status().as_u16();
+    assert!(!answer::to_reply(Answer::Refused { retry_after: 0.0 }).headers().contains_key("retry-after"));
+    let failed = answer::to_reply(Answer::Failed).status().as_u16();
     assert!(failed >= 500 && failed != 503, "a failure that reads as a refusal would be repeated");
 }
 
--- a/crates/roseproxy/tests/restarts.rs
+++ b/crates/roseproxy/tests/restarts.rs
@@ -6,7 +6,7 @@
 use common::registry::{Loopback, Registry};
 use common::*;
 use roseproxy::config::Config;
-use roseproxy::start::serve;
+use roseproxy::serve::serve;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/roseproxy/tests/signals.rs
+++ b/crates/roseproxy/tests/signals.rs
@@ -57,7 +57,7 @@
     let said: Vec<String> = lines.collect();
     assert!(program.wait().expect("it ends").success(), "{said:?}");
     std::fs::remove_file(&pipe).expect("the pipe is there");
-    assert!(said.iter().any(|line| line.contains("ends after")), "{said:?}");
+    assert!(said.iter().any(|line| line.contains("shutdown complete")), "{said:?}");
 }
 
 #[test]
@@ -70,21 +70,21 @@
     first.write_all(&good()).expect("the program lives");
     drop(first);
     // Else the second writing could still meet the first reading.
-    assert!(lines.by_ref().any(|line| line.contains("listens at")), "the program lives");
+    assert!(lines.by_ref().any(|line| line.contains("listening on")), "the program lives");
     // In the reload, twice: what it reads changes nothing, and then it ends in order, once.
     let mut again = reading(&pipe);
     signal("-TERM", &program);
     signal("-TERM", &program);
     again.write_all(b"{").expect("the program lives");
     drop(again);
-    let said: Vec<String> = lines.by_ref().take_while(|line| !line.contains("told to end")).collect();
-    assert!(said.iter().any(|line| line.contains("configuration not taken over")), "{said:?}");
+    let said: Vec<String> = lines.by_ref().take_while(|line| !line.contains("shutdown requested")).collect();
+    assert!(said.iter().any(|line| line.contains("configuration rejected")), "{said:?}");
     // In the end: neither is looked at any more.
     signal("-HUP", &program);
     signal("-TERM", &program);
     let rest: Vec<String> = lines.collect();
     assert!(program.wait().expect("it ends").success(), "{rest:?}");
     std::fs::remove_file(&pipe).expect("the pipe is there");
-    assert!(rest.iter().any(|line| line.contains("ends after")), "{rest:?}");
+    assert!(rest.iter().any(|line| line.contains("shutdown complete")), "{rest:?}");
     assert!(rest.iter().any(|line| line == "reloads_faulty 1"), "{rest:?}");
 }
--- a/crates/roseproxy/tests/sockets.rs
+++ b/crates/roseproxy/tests/sockets.rs
@@ -5,7 +5,7 @@
 use common::*;
 use roseproxy::config::ConfigError;
 use roseproxy::{config::Config, reload::Reload, Clock};
-use roseproxy_platform::request::Outgoing;
+use roseproxy_platform::request::OutgoingRequest;
 use roseproxy_transport::connect;
 use roseproxy_transport::connection::State;
 use roseproxy_transport::discovery::Watcher;
@@ -104,7 +104,7 @@
             stream.write_all(OK.as_bytes()).await.expect("written");
             stream
         });
-        connection.exchange(Outgoing::get("/stats", "a")).await;
+        connection.exchange(OutgoingRequest::get("/stats", "a")).await;
         let stream = served.await.expect("no panic").into_std().expect("a stream");
         assert!(connection.settle().await && connection.state() == State::Idle);
         // No turn of the loop lies between the write and the question.
@@ -351,7 +351,7 @@
         client.write_all(request("place-order", "1", "a").as_bytes()).await.expect("written");
         let (mut forward, _) = socket.accept().await.expect("the sidecar connects");
         message(&mut forward).await.expect("a request");
-        reload.take(Ok(Config { discovery: new_address, ..config() }));
+        reload.apply(Ok(Config { discovery: new_address, ..config() }));
         let (mut moved, _) = new.accept().await.expect("it comes to the new one");
         let fetch = message(&mut moved).await.expect("a request");
         assert!(fetch.starts_with("GET /registry/instances HTTP/1.1\r\n"), "{fetch}");
@@ -371,9 +371,9 @@
     let before = *address.borrow();
     let faulty = |text: &str| Config::read(text, |_| None).map_err(ConfigError::from);
     let mut say = |read| {
-        let taken = reload.take(read);
-        assert_eq!(taken.again_in, None, "what was read is not read again");
-        taken.said.expect("a line for the log")
+        let taken = reload.apply(read);
+        assert_eq!(taken.retry_in_ms, None, "what was read is not read again");
+        taken.log_line.expect("a line for the log")
     };
     assert!(say(faulty("{\"name\": ")).contains("not JSON"));
     let mut file = config().file;
@@ -386,7 +386,7 @@
     let said = say(faulty(&file.to_string()));
     assert!(said.contains("moved to 127.0.0.1:10") && said.ends_with("next start: listen"), "{said}");
     assert!(address.has_changed().expect("open"));
-    assert_eq!(reload.counts().lines().map(|(_, n)| n), [1, 2]);
+    assert_eq!(reload.counts().by_name().map(|(_, n)| n), [1, 2]);
 }
 
 /// A watch that stays open and says nothing, not even an empty line, is dead. Time is the test's.
--- a/crates/transport/src/attempt.rs
+++ b/crates/transport/src/attempt.rs
@@ -7,7 +7,7 @@
 use super::network::{Network, Unread};
 use super::pool::Line;
 use roseproxy_decision::interface::{Load, Outcome, ServerId};
-use roseproxy_platform::request::Passing;
+use roseproxy_platform::request::ForwardedRequest;
 use roseproxy_platform::{load, outcome};
 use roseproxy_routing::event_log::Activity;
 use roseproxy_routing::flow::{FlowId, ForwardEnd, ForwardId};
@@ -29,7 +29,7 @@
         target: ServerId,
         address: SocketAddr,
         until: f64,
-        wait: (Rc<Passing>, Rc<Notify>),
+        wait: (Rc<ForwardedRequest>, Rc<Notify>),
     ) {
         // A target that does not come up must leave time for another.
         let within = ((until - self.now()) * CONNECT_SHARE).max(CONNECT_LEAST);
@@ -48,7 +48,7 @@
         id: ForwardId,
         target: ServerId,
         until: f64,
-        (passing, ended): &(Rc<Passing>, Rc<Notify>),
+        (passing, ended): &(Rc<ForwardedRequest>, Rc<Notify>),
         mut line: Line,
     ) -> (ForwardEnd, Option<Load>) {
         let now = self.now();
@@ -70,7 +70,7 @@
         match line.connection.exchange_unless(passing.to_target(told), too_late, writing.clone()).await {
             Exchange::Answered(status, headers, body) => {
                 self.keep(target, line);
-                (outcome::of_answer(status, &headers, body), load::of_headers(&headers))
+                (outcome::from_answer(status, &headers, body), load::from_headers(&headers))
             }
             // Broken off by this side: that tells nothing of the target.
             Exchange::Broke { last_byte_written: false }
@@ -78,7 +78,7 @@
             {
                 (ForwardEnd::Lost(Outcome::NotSent), None)
             }
-            Exchange::Broke { last_byte_written } => (outcome::of_break(last_byte_written), None),
+            Exchange::Broke { last_byte_written } => (outcome::from_disconnect(last_byte_written), None),
         }
     }
 
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -11,8 +11,8 @@
 use hyper::client::conn::http1::{handshake, SendRequest};
 use hyper::{HeaderMap, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use roseproxy_platform::request::Outgoing;
-use roseproxy_platform::BODY_LIMIT;
+use roseproxy_platform::request::OutgoingRequest;
+use roseproxy_platform::MAX_BODY_BYTES;
 use std::future::{pending, Future};
 use std::rc::Rc;
 use tokio::io::{AsyncRead, AsyncWrite};
@@ -91,15 +91,15 @@
 
     /// Sends a request and reads its answer whole. It is sent once: a connection that turns out to be
     /// closed is an exchange that broke, with nothing sent again behind the caller's back.
-    pub async fn exchange(&mut self, outgoing: Outgoing) -> Exchange {
-        self.exchange_up_to(outgoing, BODY_LIMIT).await
+    pub async fn exchange(&mut self, outgoing: OutgoingRequest) -> Exchange {
+        self.exchange_up_to(outgoing, MAX_BODY_BYTES).await
     }
 
     /// The same for a request that must not be written on from some moment: where it is not whole then it is broken
     /// off, and never runs. `writing` is asked before each write, and told how far it went out.
     pub(super) async fn exchange_unless(
         &mut self,
-        outgoing: Outgoing,
+        outgoing: OutgoingRequest,
         too_late: impl Future<Output = ()>,
         writing: Rc<dyn Writing>,
     ) -> Exchange {
@@ -119,7 +119,7 @@
     }
 
     /// The same, with the longest body that is read.
-    pub async fn exchange_up_to(&mut self, outgoing: Outgoing, limit: usize) -> Exchange {
+    pub async fn exchange_up_to(&mut self, outgoing: OutgoingRequest, limit: usize) -> Exchange {
         match self.send(outgoing).await {
             Ok(answer) => self.read(answer, limit).await,
             Err(broke) => broke,
@@ -127,7 +127,7 @@
     }
 
     /// Sends a request and waits for the head of its answer, for answers that are streams.
-    pub async fn send(&mut self, outgoing: Outgoing) -> Result<Response<Incoming>, Exchange> {
+    pub async fn send(&mut self, outgoing: OutgoingRequest) -> Result<Response<Incoming>, Exchange> {
         // The driver may not have seen yet that the answer before was the last; without this, hyper
         // would refuse a request that it could send.
         if self.sender.ready().await.is_err() {
--- a/crates/transport/src/discovery.rs
+++ b/crates/transport/src/discovery.rs
@@ -11,8 +11,8 @@
 use hyper::body::Incoming;
 use hyper::StatusCode;
 use roseproxy_decision::interface::Update;
-use roseproxy_platform::discovery::{self, Listing, WatchDecoder, WatchFrame};
-use roseproxy_platform::request::Outgoing;
+use roseproxy_platform::discovery::{self, ListUpdate, WatchDecoder, WatchFrame};
+use roseproxy_platform::request::OutgoingRequest;
 use roseproxy_routing::discovery::{CallEnd, DiscoveryEvent};
 use roseproxy_routing::event_log::{Activity, EventKind};
 use std::net::SocketAddr;
@@ -146,7 +146,7 @@
             Some(revision) => revision,
             None => self.fetch_list(&mut connection, &host).await?,
         };
-        let answer = connection.send(Outgoing::get(&discovery::watch_path(known), &host));
+        let answer = connection.send(OutgoingRequest::get(&discovery::watch_path(known), &host));
         let answer = tokio::time::timeout(length(ANSWER), answer).await;
         let answer = answer.map_err(|_| CallEnd::NoAnswer)?.map_err(|_| CallEnd::Broken)?;
         if answer.status() != StatusCode::OK {
@@ -162,7 +162,7 @@
 
     /// Asks for the whole list, and returns its revision.
     async fn fetch_list(&mut self, connection: &mut Connection, host: &str) -> Result<u64, CallEnd> {
-        let fetch = connection.exchange_up_to(Outgoing::get(discovery::LIST, host), LONGEST_LIST);
+        let fetch = connection.exchange_up_to(OutgoingRequest::get(discovery::LIST_PATH, host), LONGEST_LIST);
         let answer = tokio::time::timeout(length(ANSWER), fetch).await;
         match answer.map_err(|_| CallEnd::NoAnswer)? {
             Exchange::Answered(StatusCode::OK, _, body) => self.take(&body)?,
@@ -186,7 +186,7 @@
             let Ok(data) = frame.into_data() else { continue };
             // The version to go on from, where something is missing behind it.
             let mut complete_up_to: Option<Option<u64>> = None;
-            decoder.take(&data, |frame| {
+            decoder.push(&data, |frame| {
                 match frame {
                     WatchFrame::Partial => return,
                     WatchFrame::Heartbeat => self.gateway.list_confirmed(),
@@ -204,7 +204,7 @@
                 self.revision = revision;
                 return CallEnd::Unreadable;
             }
-            if decoder.held() > LONGEST_LIST {
+            if decoder.buffered_bytes() > LONGEST_LIST {
                 count(&self.gateway.traffic.bad_lists);
                 return CallEnd::Unreadable;
             }
@@ -219,7 +219,7 @@
         let listing = discovery::read(text);
         self.gateway.note_held_up(Activity::ReadingList, began);
         match listing {
-            Ok(Listing { revision, update, targets, unread }) => {
+            Ok(ListUpdate { revision, update, targets, unreadable_entries: unread }) => {
                 traffic.bad_lists.set(traffic.bad_lists.get() + unread as u64);
                 // One that is behind the list in hand may be older than the word of a drain. It may also come from a
                 // discovery that counts anew, so that it is taken for all the rest.
--- a/crates/transport/src/gateway.rs
+++ b/crates/transport/src/gateway.rs
@@ -11,7 +11,7 @@
 use hyper::StatusCode;
 use roseproxy_decision::interface::{Outcome, ServerId, Update};
 use roseproxy_platform::load;
-use roseproxy_platform::request::{Classes, Outgoing, Passing};
+use roseproxy_platform::request::{Classes, ForwardedRequest, OutgoingRequest};
 use roseproxy_routing::discovery::{CallEnd, DiscoveryEvent};
 use roseproxy_routing::event_log::{shortened, Activity, CloseReason, EventKind, Sink};
 use roseproxy_routing::flow::{Answer, FlowId, ForwardId, NewFlow, Order, ProbeEnd, Target};
@@ -29,7 +29,7 @@
 const SWEEP: f64 = 250.0;
 
 pub(super) struct Waiting {
-    pub(super) passing: Rc<Passing>,
+    pub(super) passing: Rc<ForwardedRequest>,
     /// Looks at the client's connection.
     pub(super) client: Peek,
     answer: oneshot::Sender<Answer>,
@@ -115,7 +115,7 @@
     pub fn take_in(
         self: &Rc<Self>,
         new: NewFlow,
-        passing: Passing,
+        passing: ForwardedRequest,
         client: Peek,
     ) -> Option<(FlowId, oneshot::Receiver<Answer>)> {
         if !self.ids.borrow_mut().insert(passing.id.clone()) {
@@ -401,13 +401,15 @@
     async fn probe(self: Rc<Self>, target: ServerId, address: SocketAddr) {
         let end = match self.line(target, address, self.connect_timeout).await {
             Err(outcome) => ProbeEnd { outcome, load: None },
-            Ok(mut line) => match line.connection.exchange(Outgoing::get("/stats", "origin.svc")).await {
-                Exchange::Answered(status, _, body) => {
-                    self.keep(target, line);
-                    self.read_probe(status, &body)
+            Ok(mut line) => {
+                match line.connection.exchange(OutgoingRequest::get("/stats", "origin.svc")).await {
+                    Exchange::Answered(status, _, body) => {
+                        self.keep(target, line);
+                        self.read_probe(status, &body)
+                    }
+                    Exchange::Broke { .. } => ProbeEnd { outcome: Outcome::Broken, load: None },
                 }
-                Exchange::Broke { .. } => ProbeEnd { outcome: Outcome::Broken, load: None },
-            },
+            }
         };
         self.timed(Activity::ProbeEnd, |host, now| host.probe_ended(now, target, end));
         self.settle();
--- a/crates/transport/src/listener.rs
+++ b/crates/transport/src/listener.rs
@@ -18,9 +18,9 @@
 use hyper::service::service_fn;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use roseproxy_platform::answer::{end_connection, plain, to_client, turned_away, Reply};
-use roseproxy_platform::request::{oversized, Malformed, Passing};
-use roseproxy_platform::BODY_LIMIT;
+use roseproxy_platform::answer::{malformed_request, plain_text, set_connection_close, to_reply, Reply};
+use roseproxy_platform::request::{exceeds_body_limit, ForwardedRequest, Malformed};
+use roseproxy_platform::MAX_BODY_BYTES;
 use roseproxy_routing::event_log::CloseReason;
 use roseproxy_routing::flow::FlowId;
 use std::cell::{Cell, RefCell};
@@ -323,11 +323,11 @@
                 self.turn_away(&seat, Malformed { status: StatusCode::BAD_REQUEST, reason })
             }
             "/health/ready" if self.phase.get() == Phase::Open && self.gateway.can_serve() => {
-                plain(StatusCode::OK, "ready\n")
+                plain_text(StatusCode::OK, "ready\n")
             }
-            "/health/ready" => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
-            "/health/counters" => plain(StatusCode::OK, (self.counters)()),
-            "/health/events" => plain(StatusCode::OK, self.gateway.events()),
+            "/health/ready" => plain_text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+            "/health/counters" => plain_text(StatusCode::OK, (self.counters)()),
+            "/health/events" => plain_text(StatusCode::OK, self.gateway.events()),
             _ => {
                 let flow = self.flow(came, request, &seat, peek).await;
                 flow.unwrap_or_else(|malformed| self.turn_away(&seat, malformed))
@@ -337,7 +337,7 @@
         let alone = seat.incoming.alone();
         seat.untidy.set(seat.untidy.get() || !alone);
         if !alone || seat.unwanted.get() || self.phase.get() == Phase::Closing {
-            end_connection(&mut reply);
+            set_connection_close(&mut reply);
         }
         seat.last_answer.set(reply.headers().contains_key(CONNECTION));
         seat.incoming.begin_anew();
@@ -348,7 +348,7 @@
     fn turn_away(&self, seat: &Seat, malformed: Malformed) -> Reply {
         seat.untidy.set(true);
         count(&self.gateway.traffic.malformed);
-        turned_away(malformed)
+        malformed_request(malformed)
     }
 
     async fn flow(
@@ -363,10 +363,10 @@
         let mut new = self.gateway.classes.read(&parts)?;
         // The client's time counts from its sending.
         new.time_left -= seat.waited.take().max(self.lateness.unread_for(self.gateway.now()));
-        if oversized(&parts.headers) {
+        if exceeds_body_limit(&parts.headers) {
             return Err(too_large);
         }
-        let read = Limited::new(body, BODY_LIMIT).collect();
+        let read = Limited::new(body, MAX_BODY_BYTES).collect();
         let within = (came + REQUEST_TIMEOUT - self.gateway.now()).max(BODY_TIMEOUT);
         let body = match tokio::time::timeout(length(within), read).await {
             Ok(Ok(body)) => body.to_bytes(),
@@ -378,17 +378,18 @@
                 return Err(Malformed { status: StatusCode::REQUEST_TIMEOUT, reason: "the body is late" })
             }
         };
-        let (id, answer) = self.gateway.take_in(new, Passing::new(&parts, body), peek).ok_or(Malformed {
-            status: StatusCode::CONFLICT,
-            reason: "a request with this Request-Id is open",
-        })?;
+        let (id, answer) =
+            self.gateway.take_in(new, ForwardedRequest::new(&parts, body), peek).ok_or(Malformed {
+                status: StatusCode::CONFLICT,
+                reason: "a request with this Request-Id is open",
+            })?;
         let guard = Guard { gateway: self.gateway.clone(), id };
         seat.flow_open.set(Some(id));
         // Routing answers every flow that it took; an answer that never comes is a failure all the same.
         let answer = answer.await.unwrap_or(roseproxy_routing::flow::Answer::Failed);
         seat.flow_open.set(None);
         drop(guard);
-        Ok(to_client(answer))
+        Ok(to_reply(answer))
     }
 
     /// Goes on to the next phase of the end.
--- a/crates/transport/tests/connection.rs
+++ b/crates/transport/tests/connection.rs
@@ -4,7 +4,7 @@
 use hyper::header::{HeaderValue, CONTENT_LENGTH, HOST};
 use hyper::Method;
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
-use roseproxy_platform::request::Passing;
+use roseproxy_platform::request::ForwardedRequest;
 use roseproxy_transport::connection::{Connection, Exchange, State};
 use roseproxy_transport::network::Unread;
 use std::rc::Rc;
@@ -93,7 +93,8 @@
     fn send(&mut self, body: u8) -> u64 {
         let headers = vec![(HOST, HeaderValue::from_static("origin.svc"))];
         let (body, id) = (Bytes::from(vec![b'x'; usize::from(body)]), HeaderValue::from_static("1"));
-        let outgoing = Passing { method: Method::POST, path: "/put?obj=1".into(), headers, body, id };
+        let outgoing =
+            ForwardedRequest { method: Method::POST, path: "/put?obj=1".into(), headers, body, id };
         let outgoing = outgoing.to_target(480.0);
         assert!(outgoing.request.headers().contains_key(CONTENT_LENGTH));
         let (length, mut connection) = (outgoing.length, self.connection.take().expect("idle"));
--- a/crates/transport/tests/discovery.rs
+++ b/crates/transport/tests/discovery.rs
@@ -2,7 +2,7 @@
 
 use roseproxy_decision::interface::{Settings, Update};
 use roseproxy_platform::request::Classes;
-use roseproxy_platform::wire::Dialect;
+use roseproxy_platform::wire::ProtocolNames;
 use roseproxy_routing::Host;
 use roseproxy_transport::budget::Budget;
 use roseproxy_transport::discovery::Watcher;
@@ -53,7 +53,7 @@
         let socket = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = socket.local_addr().expect("bound");
         let settings = Settings::default();
-        let classes = Classes::new(Dialect::default(), settings.classes.clone());
+        let classes = Classes::new(ProtocolNames::default(), settings.classes.clone());
         let host = Host::new(settings, 5, 0.0);
         let gateway = Gateway::new(Tcp, host, classes, Budget::new(20), Rc::new(|| 0.0));
         assert_eq!(revision(&gateway), Some(0), "no list yet");
@@ -73,7 +73,7 @@
 fn the_counters_show_the_revision_of_the_known_list() {
     local(async {
         let settings = Settings::default();
-        let classes = Classes::new(Dialect::default(), settings.classes.clone());
+        let classes = Classes::new(ProtocolNames::default(), settings.classes.clone());
         let host = Host::new(settings, 5, 0.0);
         let gateway = Gateway::new(Tcp, host, classes, Budget::new(20), Rc::new(|| 0.0));
         let (_keep, moves) = watch::channel(([127, 0, 0, 1], 9).into());
