--- a/crates/roseproxy/tests/common/mod.rs
+++ b/crates/roseproxy/tests/common/mod.rs
@@ -7,8 +7,8 @@
 pub mod gated;
 pub mod registry;
 
-use roseproxy::signals::Asked;
-use roseproxy::start::{serve as serve_program, Surroundings};
+use roseproxy::serve::{serve as serve_program, Environment};
+use roseproxy::signals::Control;
 use roseproxy::{config::Config, Clock};
 use roseproxy_decision::interface::Update;
 use roseproxy_platform::discovery;
@@ -146,7 +146,7 @@
     endpoints: &[SocketAddr],
     descriptors: usize,
 ) -> Rc<Gateway<N>> {
-    let classes = Classes::new(config.dialect, config.settings.classes.clone());
+    let classes = Classes::new(config.names, config.settings.classes.clone());
     let gateway = Gateway::new(network, host, classes, Budget::new(descriptors), clock.reader());
     gateway.set_wall_clock(clock.wall_reader());
     let in_service: Vec<_> = endpoints.iter().map(|endpoint| (*endpoint, "in_service")).collect();
@@ -337,16 +337,16 @@
 }
 
 /// The environment in which the program runs: `network`, the system clock, and a log that is discarded.
-pub fn test_environment<N: Network>(network: N) -> Surroundings<N> {
+pub fn test_environment<N: Network>(network: N) -> Environment<N> {
     let say = Rc::new(|_: &str| {});
-    Surroundings { network, clock: Clock::system(), say, decider: None, print_events: false }
+    Environment { network, clock: Clock::system(), log: say, decider: None, print_events: false }
 }
 
 /// Runs the whole program with `config`; returns its task and the channel that stands for its signals.
 pub fn start_program<N: Network>(
     network: N,
     config: Config,
-) -> (tokio::task::JoinHandle<Result<String, String>>, tokio::sync::mpsc::UnboundedSender<Asked>) {
+) -> (tokio::task::JoinHandle<Result<String, String>>, tokio::sync::mpsc::UnboundedSender<Control>) {
     let (signal_sender, signals) = unbounded_channel();
     let task =
         spawn_local(serve_program(config, test_environment(network), signals, || Err("no reload".into())));
--- a/crates/roseproxy/tests/crossed_faults.rs
+++ b/crates/roseproxy/tests/crossed_faults.rs
@@ -25,7 +25,7 @@
 
 /// The clock of a program that started before the wall clock was stepped by `step` (ms).
 fn stepped_by(step: f64) -> Clock {
-    Clock::System { origin: tokio::time::Instant::now(), epoch: wall_clock() - step }
+    Clock::System { origin: tokio::time::Instant::now(), origin_ms: wall_clock() - step }
 }
 
 /// Steps the wall clock by `step` (ms) after the start of the sidecar, and has an endpoint start beside a warm one.
--- a/crates/roseproxy/tests/crossings.rs
+++ b/crates/roseproxy/tests/crossings.rs
@@ -6,7 +6,7 @@
 
 use common::gated::GatedNetwork;
 use common::*;
-use roseproxy::signals::Asked;
+use roseproxy::signals::Control;
 use roseproxy::{config::Config, Clock};
 use roseproxy_decision::interface::{Action, Event, Micros};
 use roseproxy_routing::decider::Decider;
@@ -282,7 +282,7 @@
             run_ready_tasks().await;
             let mut client = connect_and_send(address, &request_text("place-order", "1", "a")).await;
             let end_requested = tokio::time::Instant::now();
-            signals.send(Asked::End).expect("the program runs");
+            signals.send(Control::Shutdown).expect("the program runs");
             let answer = spawn_local(async move { read_message(&mut client).await });
             let counts = program_task.await.expect("no panic").expect("ends in order");
             let took_ms = end_requested.elapsed().as_secs_f64() * 1000.0;
@@ -342,7 +342,7 @@
             answers.push(spawn_local(async move { read_message(&mut client).await }));
             run_ready_tasks().await;
         }
-        signals.send(Asked::End).expect("the program runs");
+        signals.send(Control::Shutdown).expect("the program runs");
         let counts = program_task.await.expect("no panic").expect("ends in order");
         assert!(counts.contains("flows_taken 2\n") && counts.contains("flows_open 0\n"), "{counts}");
         for answer in answers {
@@ -601,7 +601,8 @@
         )
         .await
         .expect("open");
-        let outgoing = roseproxy_platform::request::Outgoing::get(&format!("/{}", "x".repeat(500)), "a");
+        let outgoing =
+            roseproxy_platform::request::OutgoingRequest::get(&format!("/{}", "x".repeat(500)), "a");
         let exchange = spawn_local(async move { connection.exchange(outgoing).await });
         run_ready_tasks().await;
         far.write_all(OK_RESPONSE.as_bytes()).await.expect("written");
--- a/crates/roseproxy/tests/descriptors.rs
+++ b/crates/roseproxy/tests/descriptors.rs
@@ -7,7 +7,7 @@
 use common::registry::{LoopbackNetwork, Outage, Registry};
 use common::*;
 use roseproxy::config::Config;
-use roseproxy::start::serve;
+use roseproxy::serve::serve;
 use roseproxy_transport::budget::{Budget, Permit};
 use roseproxy_transport::network::{Network, Peek};
 use serde_json::json;
--- a/crates/roseproxy/tests/last_moments.rs
+++ b/crates/roseproxy/tests/last_moments.rs
@@ -6,7 +6,7 @@
 
 use common::*;
 use roseproxy::config::Config;
-use roseproxy::signals::Asked;
+use roseproxy::signals::Control;
 use roseproxy_transport::network::Tcp;
 use serde_json::json;
 use std::time::Duration;
@@ -33,7 +33,7 @@
             let address = config.listen;
             let (program_task, signals) = start_program(Tcp, config);
             run_ready_tasks().await;
-            signals.send(Asked::End).expect("the program runs");
+            signals.send(Control::Shutdown).expect("the program runs");
             run_ready_tasks().await;
             // A request that hangs keeps the process from ending sooner.
             sleep(Duration::from_millis(600)).await;
--- a/crates/roseproxy/tests/sockets.rs
+++ b/crates/roseproxy/tests/sockets.rs
@@ -7,7 +7,7 @@
 use common::*;
 use roseproxy::config::ConfigError;
 use roseproxy::{config::Config, reload::Reload, Clock};
-use roseproxy_platform::request::Outgoing;
+use roseproxy_platform::request::OutgoingRequest;
 use roseproxy_transport::connect;
 use roseproxy_transport::connection::ConnectionState;
 use roseproxy_transport::discovery::Watcher;
@@ -109,7 +109,7 @@
             stream.write_all(OK_RESPONSE.as_bytes()).await.expect("written");
             stream
         });
-        connection.exchange(Outgoing::get("/stats", "a")).await;
+        connection.exchange(OutgoingRequest::get("/stats", "a")).await;
         let stream = served.await.expect("no panic").into_std().expect("a stream");
         assert!(connection.wait_until_idle().await && connection.state() == ConnectionState::Idle);
         // The event loop does not run between the write and the check.
@@ -368,7 +368,7 @@
         client.write_all(request_text("place-order", "1", "a").as_bytes()).await.expect("written");
         let (mut forward, _) = socket.accept().await.expect("the sidecar connects");
         read_message(&mut forward).await.expect("a request");
-        reload.take(Ok(Config { discovery: new_address, ..config() }));
+        reload.apply(Ok(Config { discovery: new_address, ..config() }));
         let (mut moved, _) = new.accept().await.expect("the sidecar connects to the new discovery");
         let fetch = read_message(&mut moved).await.expect("a request");
         assert!(fetch.starts_with("GET /registry/instances HTTP/1.1\r\n"), "{fetch}");
@@ -391,9 +391,9 @@
     let before = *address.borrow();
     let read = |text: &str| Config::read(text, |_| None).map_err(ConfigError::from);
     let mut take = |read| {
-        let taken = reload.take(read);
-        assert_eq!(taken.again_in, None, "a file that could be read is not read again");
-        taken.said.expect("a line for the log")
+        let taken = reload.apply(read);
+        assert_eq!(taken.retry_in_ms, None, "a file that could be read is not read again");
+        taken.log_line.expect("a line for the log")
     };
     assert!(take(read("{\"name\": ")).contains("not JSON"));
     let mut file = config().file;
@@ -409,7 +409,7 @@
         "{log_line}"
     );
     assert!(address.has_changed().expect("open"));
-    assert_eq!(reload.counts().lines().map(|(_, count)| count), [1, 2]);
+    assert_eq!(reload.counts().by_name().map(|(_, count)| count), [1, 2]);
 }
 
 /// A watch that stays open without any bytes, not even the empty line of a heartbeat, counts as broken. Time is
--- a/crates/transport/src/attempt.rs
+++ b/crates/transport/src/attempt.rs
@@ -7,7 +7,7 @@
 use super::pool::PooledConnection;
 use super::write_progress::{WriteObserver, WriteStage};
 use roseproxy_decision::interface::{Load, Outcome, ServerId};
-use roseproxy_platform::request::Passing;
+use roseproxy_platform::request::ForwardedRequest;
 use roseproxy_platform::{load, outcome};
 use roseproxy_routing::event_log::Activity;
 use roseproxy_routing::flow::{FlowId, ForwardEnd, ForwardId};
@@ -30,7 +30,7 @@
         target: ServerId,
         address: SocketAddr,
         deadline: f64,
-        pending: (Rc<Passing>, Rc<Notify>),
+        pending: (Rc<ForwardedRequest>, Rc<Notify>),
     ) {
         // A target that cannot be connected to must leave time for an attempt on another target.
         let connect_timeout_ms = ((deadline - self.now()) * CONNECT_TIME_SHARE).max(MIN_CONNECT_TIMEOUT_MS);
@@ -49,7 +49,7 @@
         id: ForwardId,
         target: ServerId,
         deadline: f64,
-        (request, ended): &(Rc<Passing>, Rc<Notify>),
+        (request, ended): &(Rc<ForwardedRequest>, Rc<Notify>),
         mut pooled: PooledConnection,
     ) -> (ForwardEnd, Option<Load>) {
         let now = self.now();
@@ -76,7 +76,7 @@
         {
             ExchangeResult::Answered(status, headers, body) => {
                 self.return_to_pool(target, pooled);
-                (outcome::of_answer(status, &headers, body), load::of_headers(&headers))
+                (outcome::from_answer(status, &headers, body), load::from_headers(&headers))
             }
             // Aborted by this side, so it says nothing about the target.
             ExchangeResult::Broken { last_byte_written: false }
@@ -84,7 +84,9 @@
             {
                 (ForwardEnd::Failed(Outcome::NotSent), None)
             }
-            ExchangeResult::Broken { last_byte_written } => (outcome::of_break(last_byte_written), None),
+            ExchangeResult::Broken { last_byte_written } => {
+                (outcome::from_disconnect(last_byte_written), None)
+            }
         }
     }
 
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -12,8 +12,8 @@
 use hyper::client::conn::http1::{handshake, SendRequest};
 use hyper::{HeaderMap, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use roseproxy_platform::request::Outgoing;
-use roseproxy_platform::BODY_LIMIT;
+use roseproxy_platform::request::OutgoingRequest;
+use roseproxy_platform::MAX_BODY_BYTES;
 use std::future::{pending, Future};
 use std::rc::Rc;
 use tokio::io::{AsyncRead, AsyncWrite};
@@ -94,8 +94,8 @@
     /// Sends a request and reads the complete answer. The request is sent once: if the connection
     /// turns out to be closed the exchange is broken, and nothing is resent behind the caller's
     /// back.
-    pub async fn exchange(&mut self, outgoing: Outgoing) -> ExchangeResult {
-        self.exchange_with_limit(outgoing, BODY_LIMIT).await
+    pub async fn exchange(&mut self, outgoing: OutgoingRequest) -> ExchangeResult {
+        self.exchange_with_limit(outgoing, MAX_BODY_BYTES).await
     }
 
     /// Like [`Connection::exchange`], for a request that must not be written any further once
@@ -103,7 +103,7 @@
     /// and never runs. `observer` is asked before each write and is notified of the progress.
     pub(super) async fn exchange_guarded(
         &mut self,
-        outgoing: Outgoing,
+        outgoing: OutgoingRequest,
         write_deadline: impl Future<Output = ()>,
         observer: Rc<dyn WriteObserver>,
     ) -> ExchangeResult {
@@ -124,7 +124,7 @@
     }
 
     /// Like [`Connection::exchange`], with a given limit for the body of the answer (bytes).
-    pub async fn exchange_with_limit(&mut self, outgoing: Outgoing, limit: usize) -> ExchangeResult {
+    pub async fn exchange_with_limit(&mut self, outgoing: OutgoingRequest, limit: usize) -> ExchangeResult {
         match self.send(outgoing).await {
             Ok(answer) => self.read_answer(answer, limit).await,
             Err(broken) => broken,
@@ -132,7 +132,7 @@
     }
 
     /// Sends a request and waits only for the head of the answer, for streamed answers.
-    pub async fn send(&mut self, outgoing: Outgoing) -> Result<Response<Incoming>, ExchangeResult> {
+    pub async fn send(&mut self, outgoing: OutgoingRequest) -> Result<Response<Incoming>, ExchangeResult> {
         // The driver may not have noticed yet that the previous answer was the last on this
         // connection. Without waiting for readiness hyper would refuse a request that it could
         // send.
--- a/crates/transport/src/discovery.rs
+++ b/crates/transport/src/discovery.rs
@@ -11,8 +11,8 @@
 use hyper::body::Incoming;
 use hyper::StatusCode;
 use roseproxy_decision::interface::Update;
-use roseproxy_platform::discovery::{self, Listing, WatchDecoder, WatchFrame};
-use roseproxy_platform::request::Outgoing;
+use roseproxy_platform::discovery::{self, ListUpdate, WatchDecoder, WatchFrame};
+use roseproxy_platform::request::OutgoingRequest;
 use roseproxy_routing::discovery::{CallEnd, DiscoveryEvent};
 use roseproxy_routing::event_log::{Activity, EventKind};
 use std::net::SocketAddr;
@@ -166,7 +166,7 @@
             Some(revision) => revision,
             None => self.fetch_list(&mut connection, &host).await?,
         };
-        let answer = connection.send(Outgoing::get(&discovery::watch_path(known_revision), &host));
+        let answer = connection.send(OutgoingRequest::get(&discovery::watch_path(known_revision), &host));
         let answer = tokio::time::timeout(duration_from_ms(ANSWER_TIMEOUT_MS), answer).await;
         let answer = answer.map_err(|_| CallEnd::NoAnswer)?.map_err(|_| CallEnd::Broken)?;
         if answer.status() != StatusCode::OK {
@@ -182,7 +182,8 @@
 
     /// Requests the complete list and returns its revision.
     async fn fetch_list(&mut self, connection: &mut Connection, host: &str) -> Result<u64, CallEnd> {
-        let fetch = connection.exchange_with_limit(Outgoing::get(discovery::LIST, host), MAX_LIST_BYTES);
+        let fetch =
+            connection.exchange_with_limit(OutgoingRequest::get(discovery::LIST_PATH, host), MAX_LIST_BYTES);
         let answer = tokio::time::timeout(duration_from_ms(ANSWER_TIMEOUT_MS), fetch).await;
         match answer.map_err(|_| CallEnd::NoAnswer)? {
             ExchangeResult::Answered(StatusCode::OK, _, body) => self.apply(&body)?,
@@ -206,7 +207,7 @@
             let Ok(data) = frame.into_data() else { continue };
             // The revision to resume from, if something after it could not be decoded.
             let mut resume_from: Option<Option<u64>> = None;
-            decoder.take(&data, |frame| {
+            decoder.push(&data, |frame| {
                 match frame {
                     WatchFrame::Partial => return,
                     WatchFrame::Heartbeat => self.gateway.list_confirmed(),
@@ -225,7 +226,7 @@
                 self.revision = revision;
                 return CallEnd::Unreadable;
             }
-            if decoder.held() > MAX_LIST_BYTES {
+            if decoder.buffered_bytes() > MAX_LIST_BYTES {
                 increment(&self.gateway.counters.lists_unread);
                 return CallEnd::Unreadable;
             }
@@ -240,7 +241,7 @@
         let listing = discovery::read(text);
         self.gateway.note_held_up(Activity::ReadingList, started_at);
         match listing {
-            Ok(Listing { revision, update, targets, unread }) => {
+            Ok(ListUpdate { revision, update, targets, unreadable_entries: unread }) => {
                 counters.lists_unread.set(counters.lists_unread.get() + unread as u64);
                 // A list with an older revision may predate a drain announcement. It may also come
                 // from a discovery that restarted its numbering, so everything else in it is
--- a/crates/transport/src/gateway.rs
+++ b/crates/transport/src/gateway.rs
@@ -11,7 +11,7 @@
 use hyper::StatusCode;
 use roseproxy_decision::interface::{Outcome, ServerId, Update};
 use roseproxy_platform::load;
-use roseproxy_platform::request::{Classes, Outgoing, Passing};
+use roseproxy_platform::request::{Classes, ForwardedRequest, OutgoingRequest};
 use roseproxy_routing::discovery::{CallEnd, DiscoveryEvent};
 use roseproxy_routing::event_log::{truncate_client_id, Activity, CloseReason, EventKind, Sink};
 use roseproxy_routing::flow::{Answer, FlowId, ForwardId, NewFlow, Order, ProbeEnd, Target};
@@ -30,7 +30,7 @@
 
 /// A flow that waits for its answer.
 pub(super) struct PendingFlow {
-    pub(super) request: Rc<Passing>,
+    pub(super) request: Rc<ForwardedRequest>,
     /// Inspects the client's connection.
     pub(super) peek_client: Peek,
     answer: oneshot::Sender<Answer>,
@@ -120,7 +120,7 @@
     pub fn start_flow(
         self: &Rc<Self>,
         new: NewFlow,
-        request: Passing,
+        request: ForwardedRequest,
         peek_client: Peek,
     ) -> Option<(FlowId, oneshot::Receiver<Answer>)> {
         if !self.open_request_ids.borrow_mut().insert(request.id.clone()) {
@@ -431,13 +431,15 @@
     async fn probe(self: Rc<Self>, target: ServerId, address: SocketAddr) {
         let end = match self.connection_to(target, address, self.connect_timeout_ms).await {
             Err(outcome) => ProbeEnd { outcome, load: None },
-            Ok(mut pooled) => match pooled.connection.exchange(Outgoing::get("/stats", "origin.svc")).await {
-                ExchangeResult::Answered(status, _, body) => {
-                    self.return_to_pool(target, pooled);
-                    self.read_probe(status, &body)
+            Ok(mut pooled) => {
+                match pooled.connection.exchange(OutgoingRequest::get("/stats", "origin.svc")).await {
+                    ExchangeResult::Answered(status, _, body) => {
+                        self.return_to_pool(target, pooled);
+                        self.read_probe(status, &body)
+                    }
+                    ExchangeResult::Broken { .. } => ProbeEnd { outcome: Outcome::Broken, load: None },
                 }
-                ExchangeResult::Broken { .. } => ProbeEnd { outcome: Outcome::Broken, load: None },
-            },
+            }
         };
         self.timed(Activity::ProbeEnd, |host, now| host.probe_ended(now, target, end));
         self.execute_orders();
--- a/crates/transport/src/listener.rs
+++ b/crates/transport/src/listener.rs
@@ -18,9 +18,9 @@
 use hyper::service::service_fn;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use roseproxy_platform::answer::{end_connection, plain, to_client, turned_away, Reply};
-use roseproxy_platform::request::{oversized, Malformed, Passing};
-use roseproxy_platform::BODY_LIMIT;
+use roseproxy_platform::answer::{malformed_request, plain_text, set_connection_close, to_reply, Reply};
+use roseproxy_platform::request::{exceeds_body_limit, ForwardedRequest, Malformed};
+use roseproxy_platform::MAX_BODY_BYTES;
 use roseproxy_routing::event_log::CloseReason;
 use roseproxy_routing::flow::FlowId;
 use std::cell::{Cell, RefCell};
@@ -355,11 +355,11 @@
                 self.reject(&slot, Malformed { status: StatusCode::BAD_REQUEST, reason })
             }
             "/health/ready" if self.phase.get() == Phase::Open && self.gateway.can_serve() => {
-                plain(StatusCode::OK, "ready\n")
+                plain_text(StatusCode::OK, "ready\n")
             }
-            "/health/ready" => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
-            "/health/counters" => plain(StatusCode::OK, (self.render_counters)()),
-            "/health/events" => plain(StatusCode::OK, self.gateway.events()),
+            "/health/ready" => plain_text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+            "/health/counters" => plain_text(StatusCode::OK, (self.render_counters)()),
+            "/health/events" => plain_text(StatusCode::OK, self.gateway.events()),
             _ => {
                 let flow = self.handle_flow(sent_at, request, &slot, peek).await;
                 flow.unwrap_or_else(|malformed| self.reject(&slot, malformed))
@@ -370,7 +370,7 @@
         let no_trailing_bytes = slot.incoming.has_no_trailing_bytes();
         slot.may_have_unread_input.set(slot.may_have_unread_input.get() || !no_trailing_bytes);
         if !no_trailing_bytes || slot.close_requested.get() || self.phase.get() == Phase::Closing {
-            end_connection(&mut reply);
+            set_connection_close(&mut reply);
         }
         slot.last_answer_given.set(reply.headers().contains_key(CONNECTION));
         slot.incoming.reset();
@@ -381,7 +381,7 @@
     fn reject(&self, slot: &ConnectionSlot, malformed: Malformed) -> Reply {
         slot.may_have_unread_input.set(true);
         increment(&self.gateway.counters.requests_malformed);
-        turned_away(malformed)
+        malformed_request(malformed)
     }
 
     async fn handle_flow(
@@ -397,10 +397,10 @@
         // The client's time limit counts from the moment of sending.
         new.time_left -=
             slot.read_delay.take().max(self.event_loop_lag.possible_read_delay(self.gateway.now()));
-        if oversized(&parts.headers) {
+        if exceeds_body_limit(&parts.headers) {
             return Err(too_large);
         }
-        let read = Limited::new(body, BODY_LIMIT).collect();
+        let read = Limited::new(body, MAX_BODY_BYTES).collect();
         let timeout_ms = (sent_at + REQUEST_TIMEOUT_MS - self.gateway.now()).max(MIN_BODY_TIMEOUT_MS);
         let body = match tokio::time::timeout(duration_from_ms(timeout_ms), read).await {
             Ok(Ok(body)) => body.to_bytes(),
@@ -413,7 +413,7 @@
             }
         };
         let (id, answer) =
-            self.gateway.start_flow(new, Passing::new(&parts, body), peek).ok_or(Malformed {
+            self.gateway.start_flow(new, ForwardedRequest::new(&parts, body), peek).ok_or(Malformed {
                 status: StatusCode::CONFLICT,
                 reason: "a request with this Request-Id is open",
             })?;
@@ -423,7 +423,7 @@
         let answer = answer.await.unwrap_or(roseproxy_routing::flow::Answer::Failed);
         slot.open_flow.set(None);
         drop(guard);
-        Ok(to_client(answer))
+        Ok(to_reply(answer))
     }
 
     /// Moves on to the given phase of shutdown.
--- a/crates/transport/tests/discovery.rs
+++ b/crates/transport/tests/discovery.rs
@@ -2,7 +2,7 @@
 
 use roseproxy_decision::interface::{Settings, Update};
 use roseproxy_platform::request::Classes;
-use roseproxy_platform::wire::Dialect;
+use roseproxy_platform::wire::ProtocolNames;
 use roseproxy_routing::Host;
 use roseproxy_transport::budget::Budget;
 use roseproxy_transport::discovery::Watcher;
@@ -54,7 +54,7 @@
         let socket = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = socket.local_addr().expect("bound");
         let settings = Settings::default();
-        let classes = Classes::new(Dialect::default(), settings.classes.clone());
+        let classes = Classes::new(ProtocolNames::default(), settings.classes.clone());
         let host = Host::new(settings, 5, 0.0);
         let gateway = Gateway::new(Tcp, host, classes, Budget::new(20), Rc::new(|| 0.0));
         assert_eq!(revision(&gateway), Some(0), "no list yet");
@@ -74,7 +74,7 @@
 fn counters_show_the_revision_of_a_stored_list() {
     run_local(async {
         let settings = Settings::default();
-        let classes = Classes::new(Dialect::default(), settings.classes.clone());
+        let classes = Classes::new(ProtocolNames::default(), settings.classes.clone());
         let host = Host::new(settings, 5, 0.0);
         let gateway = Gateway::new(Tcp, host, classes, Budget::new(20), Rc::new(|| 0.0));
         let (_address_sender, address_changes) = watch::channel(([127, 0, 0, 1], 9).into());
