--- a/crates/decision/src/policy.rs
+++ b/crates/decision/src/policy.rs
@@ -277,7 +277,7 @@
             if none_left {
                 candidate.max_share = f64::from(u8::from(self.servers[slot].ready()));
             }
-            // In a large fleet `fleet::key_homes` limits what a home gets, which is a part of each of its keys.
+            // In a large fleet `fleet::key_homes` limits what a home gets, a part of each of its keys.
             let limited_as_home = home == Some(slot) && self.visible_share() < 1.0;
             if self.warmth(slot) < 1.0 && !limited_as_home {
                 // All sidecars do the same, and a cold server is overloaded when all send it too much.
