--- a/crates/decision/src/affinity.rs
+++ b/crates/decision/src/affinity.rs
@@ -4,7 +4,7 @@
 use crate::interface::ServerId;
 use crate::policy::HOME_LOAD_DISCOUNT;
 use crate::state::Balancer;
-use roseproxy_fleet::homes::{Fleet, Place};
+use roseproxy_fleet::key_homes::{Candidates, HomeCandidate};
 
 impl Balancer {
     /// The slot of one of the home servers of a key, to which all sidecars send the key first.
@@ -13,13 +13,13 @@
         self.refresh_home_candidates();
         let (sight, bound) = (self.visible_share(), self.home_capacity_factor());
         let draw = if sight < 1.0 { self.uniform() } else { 0.0 };
-        let fleet = Fleet {
-            places: &self.home_candidates,
+        let fleet = Candidates {
+            servers: &self.home_candidates,
             generation: self.home_candidates_generation,
-            sight,
-            bound,
+            visibility: sight,
+            load_bound: bound,
         };
-        let home = self.homes.home(key, fleet, self.now, draw)?;
+        let home = self.homes.choose_home(key, fleet, self.now, draw)?;
         self.slot_by_id.get(&ServerId(home)).copied()
     }
 
@@ -50,7 +50,7 @@
                 candidates.push(self.home_candidate(slot, total_speed));
             }
         }
-        let same = |(a, b): (&Place, &Place)| a.id == b.id && a.weight == b.weight;
+        let same = |(a, b): (&HomeCandidate, &HomeCandidate)| a.id == b.id && a.weight == b.weight;
         if candidates.len() != self.home_candidates.len()
             || !candidates.iter().zip(&self.home_candidates).all(same)
         {
@@ -59,7 +59,7 @@
         self.home_candidates = candidates;
     }
 
-    fn home_candidate(&self, slot: usize, total_speed: f64) -> Place {
+    fn home_candidate(&self, slot: usize, total_speed: f64) -> HomeCandidate {
         let (server, warmth) = (&self.servers[slot], self.warmth(slot));
         // A cold server must not take over what warm servers lose while they are slow or set aside.
         let most = match warmth < 1.0 {
@@ -69,7 +69,7 @@
             false => f64::INFINITY,
         };
         let weight = server.info.power * warmth;
-        Place { id: server.info.id.0, weight, capacity: server.capacity, most }
+        HomeCandidate { id: server.info.id.0, weight, capacity: server.capacity, max_share: most }
     }
 
     /// Whether the water-fill would give a home all requests for its key: with all of them it is still less
--- a/crates/decision/src/learn.rs
+++ b/crates/decision/src/learn.rs
@@ -75,7 +75,7 @@
         let ready = self.servers.iter().filter(|s| s.ready()).count() as f64;
         let own: u32 = self.servers.iter().map(|s| s.in_flight).sum();
         let mean = known.iter().map(|(load, _)| load).sum::<f64>() / known.len() as f64;
-        self.tenants.held(mean * ready, own.into(), passed);
+        self.tenants.record_held(mean * ready, own.into(), passed);
     }
 
     /// Factor by which a server has recently been slower than expected: the time that this sidecar's attempts
--- a/crates/decision/src/policy.rs
+++ b/crates/decision/src/policy.rs
@@ -13,8 +13,8 @@
 pub use crate::water_fill::water_fill;
 use rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro128PlusPlus;
-use roseproxy_fleet::aside;
-use roseproxy_fleet::draw::pick as pick_by_share;
+use roseproxy_fleet::draw::pick_by_share;
+use roseproxy_fleet::ejection;
 use std::collections::HashSet;
 
 /// Points that probes may cost per request where only probes bring load reports. Divided by the price of a
@@ -150,9 +150,9 @@
             return;
         }
         let wait = match update {
-            Update::Complete | Update::Changes => self.discovery_calls.received(&mut self.rng),
-            Update::Failed => self.discovery_calls.failed(self.now, &mut self.rng),
-            Update::Reopened => return self.discovery_calls.reopened(self.now),
+            Update::Complete | Update::Changes => self.discovery_calls.on_list(&mut self.rng),
+            Update::Failed => self.discovery_calls.on_failure(self.now, &mut self.rng),
+            Update::Reopened => return self.discovery_calls.on_watch_reopened(self.now),
         };
         self.actions.extend(wait.map(|after| Action::SetTimer { token: TIMER_DISCOVERY_CALL, after }));
     }
@@ -198,7 +198,8 @@
             // The trial is passed: the server gets requests again, but the next bad outcome sets it aside.
             (true, false) => server.failure_score = server.failure_score.min(FAILURE_SCORE_GAIN),
         }
-        let gain = if bad > 0.0 { aside::weight(FAILURE_SCORE_GAIN, sight) } else { FAILURE_SCORE_GAIN };
+        let gain =
+            if bad > 0.0 { ejection::outcome_weight(FAILURE_SCORE_GAIN, sight) } else { FAILURE_SCORE_GAIN };
         server.failure_score += (bad - server.failure_score) * gain;
         if server.failure_score >= SUSPECT_SCORE && server.rest_until <= now {
             self.set_aside(slot);
@@ -208,7 +209,7 @@
     /// Sets a suspect server aside for a jittered rest, and doubles the next one.
     pub(crate) fn set_aside(&mut self, slot: usize) {
         let jitter = 0.5 + self.uniform();
-        let first = aside::first_rest(FIRST_REST_US, LONGEST_REST_US, self.visible_share());
+        let first = ejection::first_ejection_time(FIRST_REST_US, LONGEST_REST_US, self.visible_share());
         let server = &mut self.servers[slot];
         server.failure_score = server.failure_score.max(SUSPECT_SCORE);
         server.next_rest = server.next_rest.clamp(first, LONGEST_REST_US);
@@ -276,7 +277,7 @@
             if none_left {
                 candidate.max_share = f64::from(u8::from(self.servers[slot].ready()));
             }
-            // In a large fleet `fleet::homes` limits what a home gets, which is a part of each of its keys.
+            // In a large fleet `fleet::key_homes` limits what a home gets, a part of each of its keys.
             let limited_as_home = home == Some(slot) && self.visible_share() < 1.0;
             if self.warmth(slot) < 1.0 && !limited_as_home {
                 // All sidecars do the same, and a cold server is overloaded when all send it too much.
@@ -319,7 +320,7 @@
         self.requests.insert(id, pending);
         // In a small fleet a key has one home, however popular it is.
         if let Some(key) = key.filter(|_| self.settings.warm_keys && self.visible_share() < 1.0) {
-            self.homes.saw(key);
+            self.homes.record_request(key);
         }
         self.refresh_share_table();
         if self.probe_for_request(id) {
@@ -400,7 +401,7 @@
 
     fn on_timer(&mut self, request: RequestId, purpose: u64) {
         if purpose == TIMER_DISCOVERY_CALL {
-            self.discovery_calls.started(self.now);
+            self.discovery_calls.on_call_started(self.now);
             return self.actions.push(Action::Subscribe);
         }
         let Some(pending) = self.requests.get(&request) else { return };
@@ -478,7 +479,7 @@
         } else {
             self.fill(&set, if fresh { 10_000.0 } else { self.response_time }, home);
             let index = pick_by_share(self.fill_shares.iter().copied(), draw);
-            // In a large fleet `fleet::homes` limits what a home gets of all its keys.
+            // In a large fleet `fleet::key_homes` limits what a home gets of all its keys.
             let limited_as_home = self.visible_share() < 1.0 && index.map(|index| set[index]) == home;
             (
                 index.map(|index| set[index]),
@@ -510,7 +511,7 @@
             (FORECAST_MARGIN_WITH_RETRY_ADVICE, LATE_SHARE_MARGIN_WITH_RETRY_ADVICE)
         };
         let over_quota =
-            tenant.map_or(0.0, |t| self.tenants.beyond(t, self.now) * (1.0 - self.settings.over_share_worth));
+            tenant.map_or(0.0, |t| self.tenants.excess(t, self.now) * (1.0 - self.settings.over_share_worth));
         let margin = forecast_margin
             + (OVER_QUOTA_MARGIN * over_quota).min(MAX_OVER_QUOTA_MARGIN)
             + late_share_margin * self.late_share;
@@ -558,7 +559,7 @@
             self.reset_estimates();
         }
         self.refusing_since = None;
-        tenant.filter(|_| first).into_iter().for_each(|t| self.tenants.sent(t, self.now));
+        tenant.filter(|_| first).into_iter().for_each(|t| self.tenants.record_sent(t, self.now));
         let attempt = Attempt { slot, sent_at: self.now, outcome: None };
         self.requests.entry(request).and_modify(|p| p.attempts.push(attempt));
         let overdue_after = (forecast * (3.0 * self.forecast_error).exp()).max(goal / 4.0);
@@ -574,7 +575,7 @@
             }
         }
         let warmth = self.warmth(slot);
-        self.slow_start.sent(self.now, self.servers[slot].info.id.0, warmth);
+        self.slow_start.record_call(self.now, self.servers[slot].info.id.0, warmth);
         let (now, server) = (self.now, &mut self.servers[slot]);
         if server.in_flight == 0 {
             server.unanswered_since = now;
--- a/crates/decision/src/table.rs
+++ b/crates/decision/src/table.rs
@@ -5,7 +5,7 @@
 
 use crate::interface::{Action, Micros, Readiness};
 use crate::state::{Balancer, KindSpeed, SUSPECT_SCORE};
-use roseproxy_fleet::usual::usual_load;
+use roseproxy_fleet::typical_load::typical_load;
 
 /// Time constant (microseconds) with which the late share decays, and the longest time for which everything
 /// is refused before the estimates are reset.
@@ -113,7 +113,7 @@
         }
         self.learn_traffic_share(&reports.known, passed);
         let count = reports.known.len() as f64;
-        self.mean_load = usual_load(&reports.known, self.visible_share());
+        self.mean_load = typical_load(&reports.known, self.visible_share());
         self.mean_capacity = reports.known.iter().map(|(_, capacity)| capacity).sum::<f64>() / count;
         reports.total_age_us / count
     }
--- a/crates/lab/src/in_process.rs
+++ b/crates/lab/src/in_process.rs
@@ -1,14 +1,14 @@
 //! Whole sidecars in this process, from the listener down, over any network.
 
 use roseproxy::config::Config;
-use roseproxy::signals::Asked;
-use roseproxy::start::{serve, Surroundings};
+use roseproxy::serve::{serve, Environment};
+use roseproxy::signals::Control;
 use roseproxy::Clock;
 use roseproxy_emulator::fabric::Fabric;
 use roseproxy_emulator::memory::{Memory, MemoryListener, MemoryStream, Waiting};
 use roseproxy_emulator::world::Signal;
-use roseproxy_routing::decide::Decider;
-use roseproxy_transport::network::{Network, Peek, Unread};
+use roseproxy_routing::decider::Decider;
+use roseproxy_transport::network::{Network, Peek, PeekResult};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -29,8 +29,8 @@
 
 impl Network for MemoryNetwork {
     type Listener = MemoryListener;
-    type Accepted = MemoryStream;
-    type Opened = MemoryStream;
+    type AcceptedStream = MemoryStream;
+    type ConnectedStream = MemoryStream;
 
     async fn listen(&self, address: SocketAddr) -> io::Result<MemoryListener> {
         self.memory.bind(address).await
@@ -53,16 +53,16 @@
 fn peek(stream: &MemoryStream) -> Peek {
     let look = stream.peek();
     Rc::new(move || match look() {
-        Waiting::Nothing => Unread::Nothing,
-        Waiting::Bytes => Unread::Bytes,
-        Waiting::End => Unread::End,
+        Waiting::Nothing => PeekResult::Empty,
+        Waiting::Bytes => PeekResult::Data,
+        Waiting::End => PeekResult::Closed,
     })
 }
 
 /// One sidecar that was started.
 struct Running {
     task: JoinHandle<()>,
-    asked: UnboundedSender<Asked>,
+    asked: UnboundedSender<Control>,
     /// What its configuration file holds now.
     file: Rc<RefCell<Value>>,
 }
@@ -87,7 +87,7 @@
         let (asked, asking) = unbounded_channel();
         let file = Rc::new(RefCell::new(config.clone()));
         let say: Rc<dyn Fn(&str)> = Rc::new(move |line| tracing::debug!(sidecar = number, "{line}"));
-        let around = Surroundings { network, clock, say, decider, print_events: false };
+        let around = Environment { network, clock, log: say, decider, print_events: false };
         let read = {
             let file = file.clone();
             move || Ok(Config::read(&file.borrow().to_string(), |_| None)?)
@@ -112,11 +112,11 @@
         let Some(one) = running.get(&number) else { return };
         match signal {
             Signal::Term => {
-                let _ = one.asked.send(Asked::End);
+                let _ = one.asked.send(Control::Shutdown);
             }
             Signal::Reload(config) => {
                 *one.file.borrow_mut() = config;
-                let _ = one.asked.send(Asked::Reload);
+                let _ = one.asked.send(Control::Reload);
             }
             Signal::Kill => one.task.abort(),
         }
--- a/crates/lab/tests/discovery_return.rs
+++ b/crates/lab/tests/discovery_return.rs
@@ -9,7 +9,7 @@
 use roseproxy_routing::Host;
 use roseproxy_transport::budget::Budget;
 use roseproxy_transport::discovery::Watcher;
-use roseproxy_transport::network::{Network, Peek, Unread};
+use roseproxy_transport::network::{Network, Peek, PeekResult};
 use roseproxy_transport::Gateway;
 use serde_json::json;
 use std::cell::{Cell, RefCell};
@@ -158,7 +158,7 @@
         let (id, readiness) = (ServerId(1), Readiness::Ready);
         let target =
             Target { id, address, zone: 0, cell: 0, kind: 0, power: 1.0, started_at: None, readiness };
-        self.hosts[number].targets(now * 1e3, update, &[target]);
+        self.hosts[number].update_targets(now * 1e3, update, &[target]);
     }
 
     /// Carries out what a host has ordered, and plans its next timer.
@@ -169,7 +169,7 @@
                 self.plan(at, number, if answered { Event::Answered } else { Event::CallFailed });
             }
         }
-        if let Some(due) = self.hosts[number].next_due() {
+        if let Some(due) = self.hosts[number].next_timer() {
             self.plan(due / 1e3, number, Event::Timer);
         }
     }
@@ -186,8 +186,8 @@
             }
             match event {
                 Event::Timer => self.hosts[number].tick(now * 1e3),
-                Event::WatchEnds => self.hosts[number].targets_failed(now * 1e3, CallEnd::WatchEnded),
-                Event::CallFailed => self.hosts[number].targets_failed(now * 1e3, CallEnd::TurnedAway),
+                Event::WatchEnds => self.hosts[number].discovery_failed(now * 1e3, CallEnd::WatchEnded),
+                Event::CallFailed => self.hosts[number].discovery_failed(now * 1e3, CallEnd::TurnedAway),
                 Event::Answered => {
                     self.list(now, number, Update::Changes);
                     if now > OUTAGE {
@@ -344,8 +344,8 @@
 
 impl Network for Service {
     type Listener = ();
-    type Accepted = DuplexStream;
-    type Opened = DuplexStream;
+    type AcceptedStream = DuplexStream;
+    type ConnectedStream = DuplexStream;
 
     async fn listen(&self, _: SocketAddr) -> io::Result<()> {
         Ok(())
@@ -364,7 +364,7 @@
         }
         let (near, far) = duplex(64 << 10);
         spawn_local(self.clone().serve(far));
-        Ok((near, Rc::new(|| Unread::Nothing)))
+        Ok((near, Rc::new(|| PeekResult::Empty)))
     }
 }
 
@@ -388,9 +388,9 @@
     let began = service.began;
     let now = move || EPOCH + began.elapsed().as_secs_f64() * 1e3;
     let host = Host::new(config.settings.clone(), config.seed, now());
-    let classes = Classes::new(config.dialect, config.settings.classes);
+    let classes = Classes::new(config.names, config.settings.classes);
     let gateway = Gateway::new(service.clone(), host, classes, Budget::new(20), Rc::new(now));
-    gateway.targets(Update::Complete, &[]);
+    gateway.apply_kept_list(Update::Complete, &[]);
     spawn_local(gateway.clone().run_timers());
     let (moves, address) = watch::channel(config.discovery);
     let watcher = Watcher::new(gateway.clone(), address, Some(1));
--- a/crates/roseproxy/tests/common/faulty.rs
+++ b/crates/roseproxy/tests/common/faulty.rs
@@ -28,7 +28,7 @@
     pub stream_error: Rc<Cell<Option<i32>>>,
 }
 
-type Accepted = <Tcp as Network>::Accepted;
+type Accepted = <Tcp as Network>::AcceptedStream;
 
 /// A stream of [`FaultyNetwork`].
 pub struct FaultyStream<S> {
@@ -39,14 +39,14 @@
 
 impl Network for FaultyNetwork {
     type Listener = TcpListener;
-    type Accepted = FaultyStream<<Tcp as Network>::Accepted>;
-    type Opened = FaultyStream<<Tcp as Network>::Opened>;
+    type AcceptedStream = FaultyStream<<Tcp as Network>::AcceptedStream>;
+    type ConnectedStream = FaultyStream<<Tcp as Network>::ConnectedStream>;
 
     async fn listen(&self, address: SocketAddr) -> io::Result<TcpListener> {
         Tcp.listen(address).await
     }
 
-    async fn accept(&self, listener: &TcpListener) -> io::Result<(Self::Accepted, Peek)> {
+    async fn accept(&self, listener: &TcpListener) -> io::Result<(Self::AcceptedStream, Peek)> {
         // As in the system, a call fails only once there is a connection to accept, which stays in the backlog.
         self.accept_calls.set(self.accept_calls.get() + 1);
         let succeeds_every = self.accept_succeeds_every.get();
@@ -66,7 +66,7 @@
         Err(Error::from_raw_os_error(self.accept_error.get().unwrap_or(0)))
     }
 
-    async fn connect(&self, address: SocketAddr) -> io::Result<(Self::Opened, Peek)> {
+    async fn connect(&self, address: SocketAddr) -> io::Result<(Self::ConnectedStream, Peek)> {
         if let Some(error) = self.connect_error.get() {
             return Err(Error::from_raw_os_error(error));
         }
--- a/crates/roseproxy/tests/common/gated.rs
+++ b/crates/roseproxy/tests/common/gated.rs
@@ -65,20 +65,20 @@
 
 impl Network for GatedNetwork {
     type Listener = TcpListener;
-    type Accepted = GatedStream<<Tcp as Network>::Accepted>;
-    type Opened = GatedStream<<Tcp as Network>::Opened>;
+    type AcceptedStream = GatedStream<<Tcp as Network>::AcceptedStream>;
+    type ConnectedStream = GatedStream<<Tcp as Network>::ConnectedStream>;
 
     async fn listen(&self, address: SocketAddr) -> io::Result<TcpListener> {
         Tcp.listen(address).await
     }
 
-    async fn accept(&self, listener: &TcpListener) -> io::Result<(Self::Accepted, Peek)> {
+    async fn accept(&self, listener: &TcpListener) -> io::Result<(Self::AcceptedStream, Peek)> {
         let (stream, peek) = Tcp.accept(listener).await?;
         let writes = self.next_client_writes.take().unwrap_or_else(|| self.client_writes.clone());
         Ok((GatedStream { stream, reads: self.client_reads.clone(), writes }, peek))
     }
 
-    async fn connect(&self, address: SocketAddr) -> io::Result<(Self::Opened, Peek)> {
+    async fn connect(&self, address: SocketAddr) -> io::Result<(Self::ConnectedStream, Peek)> {
         self.connects.wait_until_open().await;
         let (stream, peek) = Tcp.connect(address).await?;
         Ok((GatedStream { stream, reads: Rc::default(), writes: self.target_writes.clone() }, peek))
--- a/crates/roseproxy/tests/common/mod.rs
+++ b/crates/roseproxy/tests/common/mod.rs
@@ -7,8 +7,8 @@
 pub mod gated;
 pub mod registry;
 
-use roseproxy::signals::Asked;
-use roseproxy::start::{serve as serve_program, Surroundings};
+use roseproxy::serve::{serve as serve_program, Environment};
+use roseproxy::signals::Control;
 use roseproxy::{config::Config, Clock};
 use roseproxy_decision::interface::Update;
 use roseproxy_platform::discovery;
@@ -18,7 +18,7 @@
 use roseproxy_transport::discovery::Watcher;
 use roseproxy_transport::listener::Listener;
 use roseproxy_transport::network::{Network, Tcp};
-use roseproxy_transport::pool::REST;
+use roseproxy_transport::pool::REUSE_DELAY_MS;
 use roseproxy_transport::Gateway;
 use serde_json::{json, Value};
 use std::cell::Cell;
@@ -146,12 +146,12 @@
     endpoints: &[SocketAddr],
     descriptors: usize,
 ) -> Rc<Gateway<N>> {
-    let classes = Classes::new(config.dialect, config.settings.classes.clone());
+    let classes = Classes::new(config.names, config.settings.classes.clone());
     let gateway = Gateway::new(network, host, classes, Budget::new(descriptors), clock.reader());
     gateway.set_wall_clock(clock.wall_reader());
     let in_service: Vec<_> = endpoints.iter().map(|endpoint| (*endpoint, "in_service")).collect();
     let known = discovery::read(list_json(1, true, &in_service).as_bytes()).expect("a list");
-    gateway.targets(Update::Complete, &known.targets);
+    gateway.apply_kept_list(Update::Complete, &known.targets);
     spawn_local(gateway.clone().run_timers());
     gateway
 }
@@ -248,7 +248,7 @@
 /// to stay unused before they carry the next request.
 pub async fn wait_until_reusable<N: Network>(sidecar: &Sidecar<N>, clock: &Clock, kept: u64) {
     wait_until("connections are kept", || counter(&sidecar.gateway, "targets_idle") == kept).await;
-    clock.set(clock.now() + REST);
+    clock.set(clock.now() + REUSE_DELAY_MS);
 }
 
 /// Yields 50 times, so that all tasks that are ready run.
@@ -337,16 +337,16 @@
 }
 
 /// The environment in which the program runs: `network`, the system clock, and a log that is discarded.
-pub fn test_environment<N: Network>(network: N) -> Surroundings<N> {
+pub fn test_environment<N: Network>(network: N) -> Environment<N> {
     let say = Rc::new(|_: &str| {});
-    Surroundings { network, clock: Clock::system(), say, decider: None, print_events: false }
+    Environment { network, clock: Clock::system(), log: say, decider: None, print_events: false }
 }
 
 /// Runs the whole program with `config`; returns its task and the channel that stands for its signals.
 pub fn start_program<N: Network>(
     network: N,
     config: Config,
-) -> (tokio::task::JoinHandle<Result<String, String>>, tokio::sync::mpsc::UnboundedSender<Asked>) {
+) -> (tokio::task::JoinHandle<Result<String, String>>, tokio::sync::mpsc::UnboundedSender<Control>) {
     let (signal_sender, signals) = unbounded_channel();
     let task =
         spawn_local(serve_program(config, test_environment(network), signals, || Err("no reload".into())));
--- a/crates/roseproxy/tests/common/registry.rs
+++ b/crates/roseproxy/tests/common/registry.rs
@@ -2,7 +2,7 @@
 //! to it. Sidecars reach it over loopback sockets, or over in-memory pipes in tests with hundreds of sidecars.
 
 use super::{bind_port, list_json, read_message, write_chunk};
-use roseproxy_transport::network::{Network, Peek, Tcp, Unread};
+use roseproxy_transport::network::{Network, Peek, PeekResult, Tcp};
 use std::cell::{Cell, RefCell};
 use std::future::pending;
 use std::io::{self, ErrorKind};
@@ -244,8 +244,8 @@
 
 impl Network for LoopbackNetwork {
     type Listener = TcpListener;
-    type Accepted = <Tcp as Network>::Accepted;
-    type Opened = <Tcp as Network>::Opened;
+    type AcceptedStream = <Tcp as Network>::AcceptedStream;
+    type ConnectedStream = <Tcp as Network>::ConnectedStream;
 
     async fn listen(&self, address: SocketAddr) -> io::Result<TcpListener> {
         let listener = Tcp.listen(address).await?;
@@ -253,11 +253,11 @@
         Ok(listener)
     }
 
-    async fn accept(&self, listener: &TcpListener) -> io::Result<(Self::Accepted, Peek)> {
+    async fn accept(&self, listener: &TcpListener) -> io::Result<(Self::AcceptedStream, Peek)> {
         Tcp.accept(listener).await
     }
 
-    async fn connect(&self, address: SocketAddr) -> io::Result<(Self::Opened, Peek)> {
+    async fn connect(&self, address: SocketAddr) -> io::Result<(Self::ConnectedStream, Peek)> {
         if address == self.0.address {
             self.0.admit().await?;
         }
@@ -271,8 +271,8 @@
 
 impl Network for PipedNetwork {
     type Listener = ();
-    type Accepted = DuplexStream;
-    type Opened = DuplexStream;
+    type AcceptedStream = DuplexStream;
+    type ConnectedStream = DuplexStream;
 
     async fn listen(&self, _: SocketAddr) -> io::Result<()> {
         Ok(())
@@ -289,6 +289,6 @@
         self.0.admit().await?;
         let (near, far) = tokio::io::duplex(PIPE_BYTES);
         spawn_local(self.0.clone().serve(far, drop));
-        Ok((near, Rc::new(|| Unread::Nothing)))
+        Ok((near, Rc::new(|| PeekResult::Empty)))
     }
 }
--- a/crates/roseproxy/tests/crossings.rs
+++ b/crates/roseproxy/tests/crossings.rs
@@ -6,10 +6,10 @@
 
 use common::gated::GatedNetwork;
 use common::*;
-use roseproxy::signals::Asked;
+use roseproxy::signals::Control;
 use roseproxy::{config::Config, Clock};
 use roseproxy_decision::interface::{Action, Event, Micros};
-use roseproxy_routing::decide::Decider;
+use roseproxy_routing::decider::Decider;
 use roseproxy_routing::Host;
 use roseproxy_transport::listener::Phase;
 use roseproxy_transport::network::Tcp;
@@ -108,7 +108,7 @@
         wait_until("the connection is accepted", || counter(&sidecar.gateway, "clients_accepted") == 1).await;
         network.client_reads.open();
         wait_until("the departure is noticed", || {
-            sidecar.listener.quiet_for(0.0) && sidecar.gateway.open_flows() == 0
+            sidecar.listener.is_idle_for(0.0) && sidecar.gateway.open_flows() == 0
         })
         .await;
         network.connects.open();
@@ -129,7 +129,7 @@
         wait_until("the departure is noticed", || sidecar.gateway.open_flows() == 0).await;
         let text = list_json(2, true, &[(target, "in_service")]);
         let change = roseproxy_platform::discovery::read(text.as_bytes()).expect("a list");
-        sidecar.gateway.targets(change.update, &change.targets);
+        sidecar.gateway.apply_kept_list(change.update, &change.targets);
         assert!(first_request_received(&sidecar, socket, "quote").await.contains("request-id: stays"));
     });
 }
@@ -179,10 +179,10 @@
             run_ready_tasks().await;
             network.client_reads.close();
             client.write_all(request_text("place-order", "1", "a").as_bytes()).await.expect("written");
-            sidecar.listener.enter(Phase::Leaving);
-            sidecar.listener.enter(Phase::Closing);
+            sidecar.listener.set_phase(Phase::NotReady);
+            sidecar.listener.set_phase(Phase::Closing);
             tokio::time::sleep(Duration::from_millis(1_000)).await;
-            assert!(!sidecar.listener.quiet_for(0.0));
+            assert!(!sidecar.listener.is_idle_for(0.0));
             network.client_reads.open();
             let answer = read_message(&mut client).await.expect("a whole answer");
             assert!(answer.contains("connection: close") && answer.ends_with("priced"), "{asked}: {answer}");
@@ -253,7 +253,7 @@
         let sidecar = start_sidecar_on(network.clone(), config(), Clock::system(), &[target], 8, 20).await;
         let mut client = connect_and_send(sidecar.address, &request_text("place-order", "1", "a")).await;
         wait_until("the request is answered", || counter(&sidecar.gateway, "flows_served") == 1).await;
-        sidecar.listener.enter(Phase::Closing);
+        sidecar.listener.set_phase(Phase::Closing);
         tokio::time::sleep(Duration::from_millis(1_000)).await;
         network.client_writes.open();
         let answer = read_message(&mut client).await.expect("a whole answer");
@@ -282,7 +282,7 @@
             run_ready_tasks().await;
             let mut client = connect_and_send(address, &request_text("place-order", "1", "a")).await;
             let end_requested = tokio::time::Instant::now();
-            signals.send(Asked::End).expect("the program runs");
+            signals.send(Control::Shutdown).expect("the program runs");
             let answer = spawn_local(async move { read_message(&mut client).await });
             let counts = program_task.await.expect("no panic").expect("ends in order");
             let took_ms = end_requested.elapsed().as_secs_f64() * 1000.0;
@@ -305,12 +305,12 @@
         let (mut stream, _) = socket.accept().await.expect("the sidecar connects");
         read_message(&mut stream).await.expect("a request");
         let mut waiting = connect_and_send(sidecar.address, &request_text("quote", "2", "")).await;
-        sidecar.listener.enter(Phase::Closing);
+        sidecar.listener.set_phase(Phase::Closing);
         let was_quiet = Rc::new(Cell::new(false));
         let (shared_was_quiet, listener) = (was_quiet.clone(), sidecar.listener.clone());
         // Checks in every iteration of the event loop.
         let observer = spawn_local(std::future::poll_fn(move |cx| {
-            shared_was_quiet.set(shared_was_quiet.get() || listener.quiet_for(0.0));
+            shared_was_quiet.set(shared_was_quiet.get() || listener.is_idle_for(0.0));
             cx.waker().wake_by_ref();
             Poll::<()>::Pending
         }));
@@ -342,7 +342,7 @@
             answers.push(spawn_local(async move { read_message(&mut client).await }));
             run_ready_tasks().await;
         }
-        signals.send(Asked::End).expect("the program runs");
+        signals.send(Control::Shutdown).expect("the program runs");
         let counts = program_task.await.expect("no panic").expect("ends in order");
         assert!(counts.contains("flows_taken 2\n") && counts.contains("flows_open 0\n"), "{counts}");
         for answer in answers {
@@ -475,7 +475,7 @@
 fn a_watch_requested_while_one_is_open_starts_no_other() {
     run_local(async {
         let ((socket, address), config) = (bind_port().await, config());
-        let host = Host::with(config.settings.clone(), Box::new(SubscribeOnRequest));
+        let host = Host::with_decider(config.settings.clone(), Box::new(SubscribeOnRequest));
         let sidecar = start_sidecar_with_host(Tcp, host, config, Clock::system(), &[], 8, 20).await;
         start_watch(&sidecar, address, Some(1));
         let _client = connect_and_send(sidecar.address, &request_text("quote", "1", "")).await;
@@ -572,7 +572,7 @@
 fn a_silent_watch_is_reopened_without_a_pause() {
     run_paused(async {
         let ((socket, address), config) = (bind_port().await, config());
-        let host = Host::with(config.settings.clone(), Box::new(SubscribeOnRequest));
+        let host = Host::with_decider(config.settings.clone(), Box::new(SubscribeOnRequest));
         let sidecar = start_sidecar_with_host(Tcp, host, config, Clock::system(), &[], 8, 20).await;
         start_watch(&sidecar, address, Some(1));
         let _client = connect_and_send(sidecar.address, &request_text("quote", "1", "")).await;
@@ -597,16 +597,17 @@
         let (near, mut far) = tokio::io::duplex(64);
         let mut connection = roseproxy_transport::connection::Connection::start(
             near,
-            Rc::new(|| roseproxy_transport::network::Unread::Nothing),
+            Rc::new(|| roseproxy_transport::network::PeekResult::Empty),
         )
         .await
         .expect("open");
-        let outgoing = roseproxy_platform::request::Outgoing::get(&format!("/{}", "x".repeat(500)), "a");
+        let outgoing =
+            roseproxy_platform::request::OutgoingRequest::get(&format!("/{}", "x".repeat(500)), "a");
         let exchange = spawn_local(async move { connection.exchange(outgoing).await });
         run_ready_tasks().await;
         far.write_all(OK_RESPONSE.as_bytes()).await.expect("written");
         let end = exchange.await.expect("no panic");
-        let expected = roseproxy_transport::connection::Exchange::Broke { last_byte_written: false };
+        let expected = roseproxy_transport::connection::ExchangeResult::Broken { last_byte_written: false };
         assert_eq!(format!("{end:?}"), format!("{expected:?}"));
     });
 }
--- a/crates/roseproxy/tests/descriptors.rs
+++ b/crates/roseproxy/tests/descriptors.rs
@@ -7,7 +7,7 @@
 use common::registry::{LoopbackNetwork, Outage, Registry};
 use common::*;
 use roseproxy::config::Config;
-use roseproxy::start::serve;
+use roseproxy::serve::serve;
 use roseproxy_transport::budget::{Budget, Permit};
 use roseproxy_transport::network::{Network, Peek};
 use serde_json::json;
@@ -51,7 +51,7 @@
 
 impl LimitedNetwork {
     fn take_descriptor(&self) -> io::Result<Permit> {
-        let permit = self.descriptors.permit();
+        let permit = self.descriptors.try_acquire();
         self.fewest_free.set(self.fewest_free.get().min(self.descriptors.limit() - self.descriptors.used()));
         permit.ok_or_else(|| io::Error::from_raw_os_error(EMFILE))
     }
@@ -59,14 +59,14 @@
 
 impl Network for LimitedNetwork {
     type Listener = TcpListener;
-    type Accepted = CountedStream<<LoopbackNetwork as Network>::Accepted>;
-    type Opened = CountedStream<<LoopbackNetwork as Network>::Opened>;
+    type AcceptedStream = CountedStream<<LoopbackNetwork as Network>::AcceptedStream>;
+    type ConnectedStream = CountedStream<<LoopbackNetwork as Network>::ConnectedStream>;
 
     async fn listen(&self, address: SocketAddr) -> io::Result<TcpListener> {
         self.network.listen(address).await
     }
 
-    async fn accept(&self, listener: &TcpListener) -> io::Result<(Self::Accepted, Peek)> {
+    async fn accept(&self, listener: &TcpListener) -> io::Result<(Self::AcceptedStream, Peek)> {
         // As in the system, a connection is accepted only if a descriptor is left.
         if self.descriptors.used() >= self.descriptors.limit() {
             self.take_descriptor()?;
@@ -75,7 +75,7 @@
         Ok((CountedStream { stream, _descriptor: self.take_descriptor()? }, peek))
     }
 
-    async fn connect(&self, address: SocketAddr) -> io::Result<(Self::Opened, Peek)> {
+    async fn connect(&self, address: SocketAddr) -> io::Result<(Self::ConnectedStream, Peek)> {
         let descriptor = self.take_descriptor()?;
         let (stream, peek) = self.network.connect(address).await?;
         Ok((CountedStream { stream, _descriptor: descriptor }, peek))
--- a/crates/roseproxy/tests/late_writes.rs
+++ b/crates/roseproxy/tests/late_writes.rs
@@ -7,7 +7,7 @@
 use common::*;
 use roseproxy::Clock;
 use roseproxy_decision::interface::{Action, Event, Micros, Outcome, ServerId};
-use roseproxy_routing::decide::Decider;
+use roseproxy_routing::decider::Decider;
 use roseproxy_routing::Host;
 use roseproxy_transport::network::Tcp;
 use std::cell::RefCell;
@@ -104,7 +104,7 @@
     let stall_action: StallAction = Rc::default();
     let (config, clock) = (config(), Clock::system());
     let decider = StallingDecider { server: None, action: stall_action.clone() };
-    let host = Host::with(config.settings.clone(), Box::new(decider));
+    let host = Host::with_decider(config.settings.clone(), Box::new(decider));
     let sidecar = start_sidecar_with_host(Tcp, host, config, clock, &[address], 20, 20).await;
     let mut first = TcpStream::connect(sidecar.address).await.expect("connects");
     exchange(&mut first, &request_text("place-order", "before", "b")).await;
--- a/crates/roseproxy/tests/protocol.rs
+++ b/crates/roseproxy/tests/protocol.rs
@@ -5,7 +5,7 @@
 use hyper::{HeaderMap, Request, StatusCode};
 use roseproxy::config::Config;
 use roseproxy_decision::interface::{Outcome, Readiness, Update};
-use roseproxy_platform::request::{oversized, Classes, Malformed};
+use roseproxy_platform::request::{exceeds_body_limit, Classes, Malformed};
 use roseproxy_platform::{answer, discovery, load, outcome};
 use roseproxy_routing::flow::{Answer, ForwardEnd, NewFlow};
 use serde_json::{json, Value};
@@ -43,7 +43,7 @@
 /// Reads the head of a request with the classes of the configuration.
 fn read_head(request: hyper::http::request::Builder) -> Result<NewFlow, Malformed> {
     let config = read_config(&valid_config()).expect("a good configuration");
-    let classes = Classes::new(config.dialect, config.settings.classes);
+    let classes = Classes::new(config.names, config.settings.classes);
     classes.read(&request.body(()).expect("well-formed").into_parts().0)
 }
 
@@ -56,7 +56,7 @@
 fn a_head_gives_class_key_and_timeout() {
     let flow = read_head(quote_head().header("Request-Class", "quote")).expect("a valid head");
     assert_eq!((flow.class, flow.time_left), (0, 480.0));
-    assert_eq!(flow.key, Some(roseproxy_platform::wire::tag("7f3a")));
+    assert_eq!(flow.key, Some(roseproxy_platform::wire::name_hash("7f3a")));
     let flow = read_head(Request::post("/place-order").header("Request-Id", "9b1f")).expect("a valid head");
     assert_eq!((flow.class, flow.key, flow.time_left), (1, None, 2000.0));
 }
@@ -95,7 +95,7 @@
     assert_eq!(status(keyed().header("Idempotency-Key", "5c0f").header("Idempotency-Key", "5c10")), 400);
     let mut headers = HeaderMap::new();
     headers.insert("content-length", "65537".parse().expect("a value"));
-    assert!(oversized(&headers));
+    assert!(exceeds_body_limit(&headers));
 }
 
 #[test]
@@ -105,18 +105,18 @@
         if not_started {
             headers.insert("not-started", "1".parse().expect("a value"));
         }
-        outcome::of_answer(StatusCode::from_u16(status).expect("a status"), &headers, Bytes::new())
+        outcome::from_answer(StatusCode::from_u16(status).expect("a status"), &headers, Bytes::new())
     };
     assert_eq!(end(200, false), ForwardEnd::Served(Bytes::new()));
-    assert_eq!(end(503, true), ForwardEnd::Lost(Outcome::Rejected));
-    assert_eq!(end(504, true), ForwardEnd::Lost(Outcome::Rejected));
+    assert_eq!(end(503, true), ForwardEnd::Failed(Outcome::Rejected));
+    assert_eq!(end(504, true), ForwardEnd::Failed(Outcome::Rejected));
     for (status, not_started) in
         [(500, false), (500, true), (503, false), (504, false), (404, true), (204, false)]
     {
-        assert_eq!(end(status, not_started), ForwardEnd::Lost(Outcome::Error), "{status}");
+        assert_eq!(end(status, not_started), ForwardEnd::Failed(Outcome::Error), "{status}");
     }
-    assert_eq!(outcome::of_break(true).outcome(), Outcome::Broken);
-    assert_eq!(outcome::of_break(false).outcome(), Outcome::Unreachable);
+    assert_eq!(outcome::from_disconnect(true).outcome(), Outcome::Broken);
+    assert_eq!(outcome::from_disconnect(false).outcome(), Outcome::Unreachable);
 }
 
 #[test]
@@ -134,12 +134,12 @@
     let members =
         json!([list_entry("a", "in_service"), list_entry("b", "terminating"), list_entry("c", "terminated")]);
     let all = discovery::read(list(members).as_bytes()).expect("a list");
-    assert_eq!((all.revision, all.update, all.unread), (43, Update::Complete, 0));
+    assert_eq!((all.revision, all.update, all.unreadable_entries), (43, Update::Complete, 0));
     let phases: Vec<_> = all.targets.iter().map(|target| target.readiness).collect();
     assert_eq!(phases, [Readiness::Ready, Readiness::Draining, Readiness::Gone]);
     let broken = json!([list_entry("a", "in_service"), list_entry("b", "dozing"), {"id": "d"}, 7]);
     let partial = discovery::read(list(broken).as_bytes()).expect("a list");
-    assert_eq!((partial.update, partial.targets.len(), partial.unread), (Update::Changes, 1, 3));
+    assert_eq!((partial.update, partial.targets.len(), partial.unreadable_entries), (Update::Changes, 1, 3));
     for invalid in ["", "{", "[]", "{}", r#"{"revision":-1,"complete":true,"members":[]}"#] {
         assert!(discovery::read(invalid.as_bytes()).is_err(), "{invalid}");
     }
@@ -147,15 +147,15 @@
 
 #[test]
 fn answers_have_the_required_status_and_headers() {
-    let served = answer::to_client(Answer::Served(Bytes::from_static(b"\x00\xff priced")));
+    let served = answer::to_reply(Answer::Served(Bytes::from_static(b"\x00\xff priced")));
     assert_eq!(served.status(), 200);
-    let refused = answer::to_client(Answer::Refused { retry_after: 250.0 });
+    let refused = answer::to_reply(Answer::Refused { retry_after: 250.0 });
     assert_eq!(
         (refused.status().as_u16(), &refused.headers()["retry-after"]),
         (503, &"0.250".parse().expect("value"))
     );
-    assert!(!answer::to_client(Answer::Refused { retry_after: 0.0 }).headers().contains_key("retry-after"));
-    let failed = answer::to_client(Answer::Failed).status().as_u16();
+    assert!(!answer::to_reply(Answer::Refused { retry_after: 0.0 }).headers().contains_key("retry-after"));
+    let failed = answer::to_reply(Answer::Failed).status().as_u16();
     assert!(failed >= 500 && failed != 503, "a client would repeat a failure that looks like a refusal");
 }
 
--- a/crates/roseproxy/tests/signals.rs
+++ b/crates/roseproxy/tests/signals.rs
@@ -58,7 +58,7 @@
     let log_lines: Vec<String> = lines.collect();
     assert!(program.wait().expect("it ends").success(), "{log_lines:?}");
     std::fs::remove_file(&pipe).expect("the pipe is there");
-    assert!(log_lines.iter().any(|line| line.contains("ends after")), "{log_lines:?}");
+    assert!(log_lines.iter().any(|line| line.contains("shutdown complete")), "{log_lines:?}");
 }
 
 #[test]
@@ -71,7 +71,7 @@
     first_config.write_all(&valid_config()).expect("the program lives");
     drop(first_config);
     // Without this wait the second write could still reach the first read.
-    assert!(lines.by_ref().any(|line| line.contains("listens at")), "the program lives");
+    assert!(lines.by_ref().any(|line| line.contains("listening on")), "the program lives");
     // SIGTERM twice during a reload: the faulty configuration changes nothing, and then the program ends in order,
     // once.
     let mut second_config = open_for_writing(&pipe);
@@ -79,14 +79,15 @@
     signal("-TERM", &program);
     second_config.write_all(b"{").expect("the program lives");
     drop(second_config);
-    let log_lines: Vec<String> = lines.by_ref().take_while(|line| !line.contains("told to end")).collect();
-    assert!(log_lines.iter().any(|line| line.contains("configuration not taken over")), "{log_lines:?}");
+    let log_lines: Vec<String> =
+        lines.by_ref().take_while(|line| !line.contains("shutdown requested")).collect();
+    assert!(log_lines.iter().any(|line| line.contains("configuration rejected")), "{log_lines:?}");
     // Signals during the shutdown have no effect.
     signal("-HUP", &program);
     signal("-TERM", &program);
     let remaining_lines: Vec<String> = lines.collect();
     assert!(program.wait().expect("it ends").success(), "{remaining_lines:?}");
     std::fs::remove_file(&pipe).expect("the pipe is there");
-    assert!(remaining_lines.iter().any(|line| line.contains("ends after")), "{remaining_lines:?}");
+    assert!(remaining_lines.iter().any(|line| line.contains("shutdown complete")), "{remaining_lines:?}");
     assert!(remaining_lines.iter().any(|line| line == "reloads_faulty 1"), "{remaining_lines:?}");
 }
--- a/crates/roseproxy/tests/sockets.rs
+++ b/crates/roseproxy/tests/sockets.rs
@@ -7,9 +7,9 @@
 use common::*;
 use roseproxy::config::ConfigError;
 use roseproxy::{config::Config, reload::Reload, Clock};
-use roseproxy_platform::request::Outgoing;
+use roseproxy_platform::request::OutgoingRequest;
 use roseproxy_transport::connect;
-use roseproxy_transport::connection::State;
+use roseproxy_transport::connection::ConnectionState;
 use roseproxy_transport::discovery::Watcher;
 use roseproxy_transport::listener::Phase;
 use roseproxy_transport::network::Tcp;
@@ -109,12 +109,12 @@
             stream.write_all(OK_RESPONSE.as_bytes()).await.expect("written");
             stream
         });
-        connection.exchange(Outgoing::get("/stats", "a")).await;
+        connection.exchange(OutgoingRequest::get("/stats", "a")).await;
         let stream = served.await.expect("no panic").into_std().expect("a stream");
-        assert!(connection.settle().await && connection.state() == State::Idle);
+        assert!(connection.wait_until_idle().await && connection.state() == ConnectionState::Idle);
         // The event loop does not run between the write and the check.
         std::io::Write::write_all(&mut &stream, OK_RESPONSE.as_bytes()).expect("written");
-        assert_eq!(connection.state(), State::Closed);
+        assert_eq!(connection.state(), ConnectionState::Closed);
     });
 }
 
@@ -272,11 +272,11 @@
         client.write_all(request_text("quote", "1", "").as_bytes()).await.expect("written");
         let (mut stream, _) = socket.accept().await.expect("the sidecar connects");
         read_message(&mut stream).await.expect("a request");
-        sidecar.listener.enter(Phase::Leaving);
+        sidecar.listener.set_phase(Phase::NotReady);
         assert!(exchange(&mut idle, ready).await.starts_with("HTTP/1.1 503"), "no longer ready");
-        sidecar.listener.enter(Phase::Closing);
+        sidecar.listener.set_phase(Phase::Closing);
         assert!(read_message(&mut idle).await.is_none());
-        assert!(!sidecar.listener.quiet_for(0.0), "one answer is still due");
+        assert!(!sidecar.listener.is_idle_for(0.0), "one answer is still due");
         stream.write_all(OK_RESPONSE.as_bytes()).await.expect("written");
         let answer = read_message(&mut client).await.expect("a whole answer");
         assert!(answer.ends_with("priced"), "{answer}");
@@ -368,7 +368,7 @@
         client.write_all(request_text("place-order", "1", "a").as_bytes()).await.expect("written");
         let (mut forward, _) = socket.accept().await.expect("the sidecar connects");
         read_message(&mut forward).await.expect("a request");
-        reload.take(Ok(Config { discovery: new_address, ..config() }));
+        reload.apply(Ok(Config { discovery: new_address, ..config() }));
         let (mut moved, _) = new.accept().await.expect("the sidecar connects to the new discovery");
         let fetch = read_message(&mut moved).await.expect("a request");
         assert!(fetch.starts_with("GET /registry/instances HTTP/1.1\r\n"), "{fetch}");
@@ -391,9 +391,9 @@
     let before = *address.borrow();
     let read = |text: &str| Config::read(text, |_| None).map_err(ConfigError::from);
     let mut take = |read| {
-        let taken = reload.take(read);
-        assert_eq!(taken.again_in, None, "a file that could be read is not read again");
-        taken.said.expect("a line for the log")
+        let taken = reload.apply(read);
+        assert_eq!(taken.retry_in_ms, None, "a file that could be read is not read again");
+        taken.log_line.expect("a line for the log")
     };
     assert!(take(read("{\"name\": ")).contains("not JSON"));
     let mut file = config().file;
@@ -409,7 +409,7 @@
         "{log_line}"
     );
     assert!(address.has_changed().expect("open"));
-    assert_eq!(reload.counts().lines().map(|(_, count)| count), [1, 2]);
+    assert_eq!(reload.counts().by_name().map(|(_, count)| count), [1, 2]);
 }
 
 /// A watch that stays open without any bytes, not even the empty line of a heartbeat, counts as broken. Time is
--- a/crates/roseproxy/tests/stalled_peers.rs
+++ b/crates/roseproxy/tests/stalled_peers.rs
@@ -149,7 +149,7 @@
     run_paused(async {
         let (network, sidecar, received) = start_gated_sidecar(2).await;
         network.client_writes.close();
-        sidecar.listener.enter(Phase::Closing);
+        sidecar.listener.set_phase(Phase::Closing);
         let mut client = connect_and_send(sidecar.address, &request_text("place-order", "one", "b")).await;
         wait_until("the request is served", || received.get() == 1).await;
         run_ready_tasks().await;
--- /dev/null
+++ b/crates/transport/src/counters.rs
@@ -0,0 +1,72 @@
+//! Counters of the socket layer.
+
+use roseproxy_routing::event_log::{CloseReason, CLOSE_REASONS};
+use roseproxy_routing::labels;
+use std::cell::{Cell, RefCell};
+
+/// Counters of the socket layer.
+#[derive(Debug, Default)]
+pub struct Counters {
+    /// Client connections accepted, including those that still wait for a free socket.
+    pub clients_accepted: Cell<u64>,
+    /// Accepts that failed, for example because descriptors ran out.
+    pub accept_errors: Cell<u64>,
+    /// Client connections closed with an incomplete request, or without a first request in time.
+    pub requests_late: Cell<u64>,
+    /// Client connections closed because they were idle.
+    pub clients_closed_idle: Cell<u64>,
+    /// Forwards and probes not sent for lack of a descriptor.
+    pub descriptors_spent: Cell<u64>,
+    /// Requests rejected with a 4xx status.
+    pub requests_malformed: Cell<u64>,
+    /// Connections opened to targets.
+    pub targets_connected: Cell<u64>,
+    /// Requests sent on a pooled connection.
+    pub targets_reused: Cell<u64>,
+    /// Connections to targets that could not be established.
+    pub targets_unreachable: Cell<u64>,
+    /// Connects that failed for lack of descriptors, memory or ports on this machine.
+    pub connects_failed_here: Cell<u64>,
+    /// Load reports that could not be decoded.
+    pub reports_unread: Cell<u64>,
+    /// Discovery messages and list entries that could not be decoded.
+    pub lists_unread: Cell<u64>,
+    /// Client connections closed, by reason, in the order of [`CLOSE_REASONS`].
+    pub clients_closed_by: RefCell<[u64; CLOSE_REASONS.len()]>,
+}
+
+impl Counters {
+    /// Counts a closed client connection.
+    pub(super) fn count_close(&self, reason: CloseReason) {
+        labels::increment(&mut *self.clients_closed_by.borrow_mut(), &CLOSE_REASONS, reason);
+    }
+
+    /// All counters with their names.
+    pub(super) fn named_counts(&self) -> Vec<(String, u64)> {
+        let counts = [
+            ("clients_accepted", &self.clients_accepted),
+            ("accept_errors", &self.accept_errors),
+            ("requests_late", &self.requests_late),
+            ("clients_closed_idle", &self.clients_closed_idle),
+            ("descriptors_spent", &self.descriptors_spent),
+            ("requests_malformed", &self.requests_malformed),
+            ("targets_connected", &self.targets_connected),
+            ("targets_reused", &self.targets_reused),
+            ("targets_unreachable", &self.targets_unreachable),
+            ("connects_failed_here", &self.connects_failed_here),
+            ("reports_unread", &self.reports_unread),
+            ("lists_unread", &self.lists_unread),
+        ];
+        let mut named: Vec<_> = counts.map(|(name, count)| (name.to_owned(), count.get())).into();
+        named.extend(labels::labelled_counts(
+            "clients_closed_by",
+            &CLOSE_REASONS,
+            &*self.clients_closed_by.borrow(),
+        ));
+        named
+    }
+}
+
+pub(super) fn increment(cell: &Cell<u64>) {
+    cell.set(cell.get() + 1);
+}
--- a/crates/transport/src/gateway.rs
+++ b/crates/transport/src/gateway.rs
@@ -1,22 +1,22 @@
-//! The joint between routing and the sockets.
+//! The gateway between routing and the sockets.
 
 use super::budget::Budget;
-use super::connecting::{connect, ConnectError};
-use super::connection::Exchange;
+use super::connection::ExchangeResult;
+use super::connector::{connect, ConnectError};
+use super::counters::{increment, Counters};
 use super::network::{Network, Peek};
-use super::pool::{Line, Pool};
-use super::traffic::{count, Traffic};
-use super::{length, Task};
+use super::pool::{Pool, PooledConnection};
+use super::{duration_from_ms, AbortOnDrop};
 use hyper::header::HeaderValue;
 use hyper::StatusCode;
 use roseproxy_decision::interface::{Outcome, ServerId, Update};
 use roseproxy_platform::load;
-use roseproxy_platform::request::{Classes, Outgoing, Passing};
+use roseproxy_platform::request::{Classes, ForwardedRequest, OutgoingRequest};
 use roseproxy_routing::discovery::{CallEnd, DiscoveryEvent};
-use roseproxy_routing::event_log::{shortened, Activity, CloseReason, EventKind, Sink};
+use roseproxy_routing::event_log::{truncate_client_id, Activity, CloseReason, EventKind, Sink};
 use roseproxy_routing::flow::{Answer, FlowId, ForwardId, NewFlow, Order, ProbeEnd, Target};
 use roseproxy_routing::invariants::Violation;
-use roseproxy_routing::start_times::{Clocks, Source, StartTimes};
+use roseproxy_routing::start_times::{Clocks, ListSource, StartTimes};
 use roseproxy_routing::time::{to_millis, Now};
 use roseproxy_routing::Host;
 use std::cell::{Cell, RefCell};
@@ -25,82 +25,86 @@
 use std::rc::Rc;
 use tokio::sync::{oneshot, Notify};
 
-/// How often idle connections are looked through (ms).
-const SWEEP: f64 = 250.0;
+/// Period at which expired idle connections are closed.
+const IDLE_SWEEP_PERIOD_MS: f64 = 250.0;
 
-pub(super) struct Waiting {
-    pub(super) passing: Rc<Passing>,
-    /// Looks at the client's connection.
-    pub(super) client: Peek,
+/// A flow that waits for its answer.
+pub(super) struct PendingFlow {
+    pub(super) request: Rc<ForwardedRequest>,
+    /// Inspects the client's connection.
+    pub(super) peek_client: Peek,
     answer: oneshot::Sender<Answer>,
-    /// Tells its forwards that nobody waits any more.
+    /// Notifies the flow's forwards that no one waits for the answer any more.
     ended: Rc<Notify>,
 }
 
-/// Carries out routing's orders on sockets and reports back.
+/// Executes routing's orders on the network and reports the results back to routing.
 pub struct Gateway<N> {
     network: N,
     pub(super) host: RefCell<Host>,
     now: Now,
-    /// How requests name their classes.
+    /// Determines the class that a request names.
     pub classes: Classes,
-    /// What the sockets count.
-    pub traffic: Traffic,
+    /// Counters of the socket layer.
+    pub counters: Counters,
     pool: RefCell<Pool>,
-    targets: Budget,
-    connect_timeout: f64,
-    pub(super) waiting: RefCell<HashMap<FlowId, Waiting>>,
-    /// The clients' ids of the flows that wait.
-    ids: RefCell<HashSet<HeaderValue>>,
-    pub(super) forwards: RefCell<HashMap<ForwardId, Task>>,
-    probes: RefCell<HashMap<ServerId, Task>>,
-    /// When the timer task will wake, and how to wake it sooner.
-    armed: Cell<f64>,
-    rearm: Notify,
-    /// Whether routing wants discovery watched and no watch has begun since, and who waits to hear it.
-    watch_wish: Cell<bool>,
-    watch: Notify,
-    /// Revision of the list in hand; 0 before any.
+    target_budget: Budget,
+    connect_timeout_ms: f64,
+    pub(super) pending_flows: RefCell<HashMap<FlowId, PendingFlow>>,
+    /// Request ids, as sent by the clients, of the pending flows.
+    open_request_ids: RefCell<HashSet<HeaderValue>>,
+    pub(super) forwards: RefCell<HashMap<ForwardId, AbortOnDrop>>,
+    probes: RefCell<HashMap<ServerId, AbortOnDrop>>,
+    /// When the timer task will wake; infinite while no timer is set.
+    timer_wakes_at: Cell<f64>,
+    /// Wakes the timer task before that time.
+    timer_changed: Notify,
+    /// Whether routing has requested a watch on discovery and none has been started since.
+    watch_pending: Cell<bool>,
+    /// Wakes the task that waits for a watch request.
+    watch_notify: Notify,
+    /// Revision of the current list; 0 before the first.
     revision: Cell<u64>,
-    /// When endpoints started, on the program's clock.
-    starts: RefCell<StartTimes>,
-    /// The wall clock; where there is none, the program's clock stands for it.
-    wall: RefCell<Option<Now>>,
+    /// Start times of the endpoints on the program's clock.
+    start_times: RefCell<StartTimes>,
+    /// The wall clock; if unset, the program's clock is used in its place.
+    wall_clock: RefCell<Option<Now>>,
 }
 
 impl<N: Network> Gateway<N> {
-    /// Joins a host with the network.
+    /// Connects routing's host to a network; `targets` is the socket budget for connections to
+    /// targets.
     pub fn new(network: N, host: Host, classes: Classes, targets: Budget, now: Now) -> Rc<Gateway<N>> {
-        let figures = host.settings().network;
+        let network_settings = host.settings().network;
         Rc::new(Gateway {
             network,
             host: RefCell::new(host),
             now,
             classes,
-            traffic: Traffic::default(),
-            pool: RefCell::new(Pool::new(to_millis(figures.conn_idle))),
-            targets,
-            connect_timeout: to_millis(figures.connect_timeout),
-            waiting: RefCell::default(),
-            ids: RefCell::default(),
+            counters: Counters::default(),
+            pool: RefCell::new(Pool::new(to_millis(network_settings.conn_idle))),
+            target_budget: targets,
+            connect_timeout_ms: to_millis(network_settings.connect_timeout),
+            pending_flows: RefCell::default(),
+            open_request_ids: RefCell::default(),
             forwards: RefCell::default(),
             probes: RefCell::default(),
-            armed: Cell::new(f64::INFINITY),
-            rearm: Notify::new(),
-            watch_wish: Cell::new(false),
-            watch: Notify::new(),
+            timer_wakes_at: Cell::new(f64::INFINITY),
+            timer_changed: Notify::new(),
+            watch_pending: Cell::new(false),
+            watch_notify: Notify::new(),
             revision: Cell::new(0),
-            starts: RefCell::default(),
-            wall: RefCell::default(),
+            start_times: RefCell::default(),
+            wall_clock: RefCell::default(),
         })
     }
 
-    /// The program's time.
+    /// The current time on the program's clock (ms).
     pub fn now(&self) -> f64 {
         (self.now)()
     }
 
-    /// Where its streams come from.
+    /// The network from which streams are obtained.
     pub(super) fn network(&self) -> &N {
         &self.network
     }
@@ -110,307 +114,335 @@
         self.now.clone()
     }
 
-    /// Takes in a flow, with what looks at its client's connection; its answer comes on the channel. `None` where a request with its id is open: that
-    /// one belongs to another client, and a target would take this one for a repeat of it.
-    pub fn take_in(
+    /// Starts a flow for a request. `peek_client` inspects the client's connection; the answer is
+    /// sent on the returned channel. Returns `None` if a request with the same id is open: that
+    /// request belongs to another client, and a target would take this one for a retry of it.
+    pub fn start_flow(
         self: &Rc<Self>,
         new: NewFlow,
-        passing: Passing,
-        client: Peek,
+        request: ForwardedRequest,
+        peek_client: Peek,
     ) -> Option<(FlowId, oneshot::Receiver<Answer>)> {
-        if !self.ids.borrow_mut().insert(passing.id.clone()) {
+        if !self.open_request_ids.borrow_mut().insert(request.id.clone()) {
             return None;
         }
         let (answer, receiver) = oneshot::channel();
-        let id = self.timed(Activity::Request, |host, now| host.take_in(now, new));
-        let client_id = shortened(passing.id.as_bytes());
+        let id = self.timed(Activity::Request, |host, now| host.accept_request(now, new));
+        let client_id = truncate_client_id(request.id.as_bytes());
         let taken = EventKind::Taken { client_id, class: new.class, time_left: new.time_left };
         self.host.borrow_mut().events.record(self.now(), Some(id), taken);
-        let waiting = Waiting { passing: Rc::new(passing), client, answer, ended: Rc::default() };
-        self.waiting.borrow_mut().insert(id, waiting);
-        self.settle();
+        let pending = PendingFlow { request: Rc::new(request), peek_client, answer, ended: Rc::default() };
+        self.pending_flows.borrow_mut().insert(id, pending);
+        self.execute_orders();
         Some((id, receiver))
     }
 
-    /// Ends the wait for a flow's answer, and lets go of its id.
-    fn end_wait(&self, id: FlowId) -> Option<Waiting> {
-        let waiting = self.waiting.borrow_mut().remove(&id)?;
-        self.ids.borrow_mut().remove(&waiting.passing.id);
-        waiting.ended.notify_waiters();
-        Some(waiting)
+    /// Removes a flow from the pending ones, releases its request id and notifies its forwards.
+    fn remove_pending(&self, id: FlowId) -> Option<PendingFlow> {
+        let pending = self.pending_flows.borrow_mut().remove(&id)?;
+        self.open_request_ids.borrow_mut().remove(&pending.request.id);
+        pending.ended.notify_waiters();
+        Some(pending)
     }
 
-    /// The client of a flow has left. Of one that has its answer this changes nothing.
+    /// Reports that the client of a flow has left. Has no effect on a flow that has been answered.
     pub fn client_gone(self: &Rc<Self>, id: FlowId) {
-        if self.end_wait(id).is_some() {
-            self.timed(Activity::Departure, |host, now| host.client_gone(now, id));
-            self.settle();
+        if self.remove_pending(id).is_some() {
+            self.timed(Activity::Departure, |host, now| host.client_left(now, id));
+            self.execute_orders();
         }
     }
 
-    /// Has starts in wall-clock time held against this clock, too.
+    /// Sets the wall clock, against which start times given in wall-clock time are compared as
+    /// well.
     pub fn set_wall_clock(&self, wall: Now) {
-        *self.wall.borrow_mut() = Some(wall);
+        *self.wall_clock.borrow_mut() = Some(wall);
     }
 
-    /// A list of the target group that was kept from before.
-    pub fn targets(self: &Rc<Self>, update: Update, targets: &[Target]) {
-        self.take_list(Source::Kept, update, targets.to_vec(), false);
+    /// Applies a target list that was stored before the start.
+    pub fn apply_kept_list(self: &Rc<Self>, update: Update, targets: &[Target]) {
+        self.apply_list(ListSource::Kept, update, targets.to_vec(), false);
     }
 
-    /// A list that discovery has told. In one that is behind the list in hand, who leaves is not taken back into
-    /// service by it.
-    pub(super) fn listed(self: &Rc<Self>, update: Update, targets: Vec<Target>, behind: bool) {
-        self.take_list(Source::Discovery, update, targets, behind);
+    /// Applies a target list received from discovery. A list that is `outdated`, behind the current
+    /// one, does not bring targets that are leaving back into service.
+    pub(super) fn apply_discovery_list(
+        self: &Rc<Self>,
+        update: Update,
+        targets: Vec<Target>,
+        outdated: bool,
+    ) {
+        self.apply_list(ListSource::Discovery, update, targets, outdated);
     }
 
-    fn take_list(self: &Rc<Self>, source: Source, update: Update, mut targets: Vec<Target>, behind: bool) {
+    fn apply_list(
+        self: &Rc<Self>,
+        source: ListSource,
+        update: Update,
+        mut targets: Vec<Target>,
+        outdated: bool,
+    ) {
         let program = self.now();
-        let wall = self.wall.borrow().as_ref().map_or(program, |wall| wall());
-        self.starts.borrow_mut().place(Clocks { program, wall }, source, update, &mut targets);
-        if behind {
-            self.host.borrow().keep_leaving(&mut targets);
+        let wall = self.wall_clock.borrow().as_ref().map_or(program, |wall| wall());
+        self.start_times.borrow_mut().place_on_program_clock(
+            Clocks { program, wall },
+            source,
+            update,
+            &mut targets,
+        );
+        if outdated {
+            self.host.borrow().preserve_leaving(&mut targets);
         }
-        self.timed(Activity::List, |host, now| host.targets(now, update, &targets));
-        self.settle();
+        self.timed(Activity::List, |host, now| host.update_targets(now, update, &targets));
+        self.execute_orders();
     }
 
-    /// Records the revision of the list in hand, for the counters.
+    /// Records the revision of the current list for the counters.
     pub(super) fn set_revision(&self, revision: u64) {
         self.revision.set(revision);
     }
 
-    /// A call to discovery failed, or the watch broke.
-    pub fn targets_failed(self: &Rc<Self>, end: CallEnd) {
-        self.host.borrow_mut().targets_failed(self.now(), end);
-        self.settle();
+    /// Reports that a call to discovery failed or that the watch broke.
+    pub fn discovery_failed(self: &Rc<Self>, end: CallEnd) {
+        self.host.borrow_mut().discovery_failed(self.now(), end);
+        self.execute_orders();
     }
 
-    /// Records what happened between this sidecar and discovery.
+    /// Records an event between this sidecar and discovery.
     pub(super) fn discovery_event(&self, event: DiscoveryEvent) {
-        self.host.borrow_mut().discovery_event(self.now(), event);
+        self.host.borrow_mut().record_discovery_event(self.now(), event);
     }
 
-    /// From now on discovery is followed; the list in hand is one that was kept from before the start, at this time (ms).
-    pub(super) fn follow_discovery(self: &Rc<Self>, began: f64) {
-        self.host.borrow_mut().follow_discovery(self.now(), began);
-        self.settle();
+    /// Starts following discovery. The current list was stored before the start, which was at
+    /// `started_at` (ms).
+    pub(super) fn follow_discovery(self: &Rc<Self>, started_at: f64) {
+        self.host.borrow_mut().follow_discovery(self.now(), started_at);
+        self.execute_orders();
     }
 
-    /// A call to discovery goes out.
+    /// Reports that a call to discovery is being made.
     pub(super) fn call_started(self: &Rc<Self>, revision: Option<u64>) {
-        self.host.borrow_mut().call_started(self.now(), revision);
-        self.settle();
+        self.host.borrow_mut().discovery_call_started(self.now(), revision);
+        self.execute_orders();
     }
 
-    /// Discovery has told of a change, or that there is none.
+    /// Reports that discovery has sent a change or confirmed that there is none.
     pub(super) fn list_confirmed(self: &Rc<Self>) {
         self.host.borrow_mut().list_confirmed(self.now());
-        self.settle();
+        self.execute_orders();
     }
 
-    /// Discovery was moved; `calling` is whether a call or a watch was open.
+    /// Reports that discovery moved to another address; `calling` tells whether a call or a watch
+    /// was open.
     pub(super) fn discovery_moved(self: &Rc<Self>, calling: bool) {
         self.host.borrow_mut().discovery_moved(self.now(), calling);
-        self.settle();
+        self.execute_orders();
     }
 
-    /// The watch ended so, and is opened anew without a pause.
+    /// Reports that the watch ended and is reopened without a pause.
     pub(super) fn watch_reopened(self: &Rc<Self>, end: CallEnd) {
         self.host.borrow_mut().watch_reopened(self.now(), end);
-        self.settle();
+        self.execute_orders();
     }
 
-    /// Waits until routing wants to watch discovery.
-    pub async fn watch_wanted(&self) {
-        while !self.watch_wish.take() {
-            self.watch.notified().await;
+    /// Waits until routing requests a watch on discovery.
+    pub async fn watch_requested(&self) {
+        while !self.watch_pending.take() {
+            self.watch_notify.notified().await;
         }
     }
 
-    /// Forgets a wish to watch that has not been met.
-    pub(super) fn forget_watch_wish(&self) {
-        self.watch_wish.set(false);
+    /// Discards a watch request that has not been served.
+    pub(super) fn clear_watch_request(&self) {
+        self.watch_pending.set(false);
     }
 
-    /// Has warnings printed as they happen, or each event.
+    /// Logs warnings as they happen, or every event if `every` is set.
     pub fn log_to(&self, sink: Sink, every: bool) {
-        self.host.borrow_mut().events.log_to(sink, every);
+        self.host.borrow_mut().events.set_sink(sink, every);
     }
 
-    /// Records an event of no request.
+    /// Records an event that belongs to no request.
     pub(super) fn record(&self, kind: EventKind) {
         self.host.borrow_mut().events.record(self.now(), None, kind);
     }
 
-    /// The latest events, one a line.
+    /// The latest events, one per line.
     pub fn events(&self) -> String {
         self.host.borrow().events.text()
     }
 
-    /// A client's connection ends; `open` is the request on it that has no answer.
+    /// Records that a client's connection ends; `open` is the unanswered flow on it, if any.
     pub(super) fn client_closed(&self, reason: CloseReason, open: Option<FlowId>) {
-        self.traffic.closed(reason);
+        self.counters.count_close(reason);
         let mut host = self.host.borrow_mut();
         host.events.record(self.now(), open, EventKind::Closed(reason));
         let by_client = matches!(reason, CloseReason::Client | CloseReason::Departed);
         if open.is_some() && !by_client {
-            host.violated(self.now(), open, Violation::ClosedUnanswered);
+            host.record_violation(self.now(), open, Violation::ClosedUnanswered);
         }
     }
 
-    /// The process ends now: what is still open is lost.
-    pub fn exiting(&self) {
+    /// Records every flow that is still open when the process exits as a violation, as it is lost.
+    pub fn record_open_at_exit(&self) {
         let mut host = self.host.borrow_mut();
-        for request in host.open_ids() {
-            host.violated(self.now(), Some(request), Violation::OpenAtExit);
+        for request in host.open_flow_ids() {
+            host.record_violation(self.now(), Some(request), Violation::OpenAtExit);
         }
     }
 
-    /// Whether a request would find an endpoint, by a list that may be acted on.
+    /// Whether a request could be sent to an endpoint of a list that is still valid.
     pub fn can_serve(&self) -> bool {
         self.host.borrow().can_serve(self.now())
     }
 
-    /// The process is about to end: answers all flows that are open as failed, and whatever comes from here on.
-    /// Returns how many were open.
-    pub fn end(self: &Rc<Self>) -> usize {
+    /// Prepares for the end of the process: answers all open flows as failed, and likewise all that
+    /// follow. Returns how many were open.
+    pub fn shut_down(self: &Rc<Self>) -> usize {
         let open = self.open_flows();
-        self.host.borrow_mut().end(self.now());
-        self.settle();
+        self.host.borrow_mut().begin_shutdown(self.now());
+        self.execute_orders();
         open
     }
 
-    /// Endpoints that the list in hand names.
+    /// Number of endpoints in the current list.
     pub(super) fn endpoints(&self) -> usize {
-        self.host.borrow().endpoints()
+        self.host.borrow().endpoint_count()
     }
 
-    /// Flows without an answer.
+    /// Number of unanswered flows.
     pub fn open_flows(&self) -> usize {
         self.host.borrow().open_flows()
     }
 
-    /// All counts by name.
+    /// All counters and gauges with their names.
     pub fn counts(&self) -> Vec<(String, u64)> {
-        let mut lines = self.host.borrow().book.lines();
-        lines.extend(self.host.borrow().picture());
-        lines.extend(self.traffic.lines());
-        let now = [
+        let mut counts = self.host.borrow().counters.named_counts();
+        counts.extend(self.host.borrow().picture());
+        counts.extend(self.counters.named_counts());
+        let gauges = [
             ("discovery_revision", self.revision.get()),
             ("discovery_list_age_ms", self.host.borrow().list_age(self.now()) as u64),
             ("targets_idle", self.pool.borrow().len() as u64),
-            ("targets_open", self.targets.used() as u64),
+            ("targets_open", self.target_budget.used() as u64),
         ];
-        lines.extend(now.map(|(name, count)| (name.to_owned(), count)));
-        lines
+        counts.extend(gauges.map(|(name, count)| (name.to_owned(), count)));
+        counts
     }
 
-    /// Lets routing's timers go off; runs as long as the program.
+    /// Fires routing's timers when they are due; runs as long as the program.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
-            let due = self.host.borrow().next_due();
-            self.armed.set(due.unwrap_or(f64::INFINITY));
+            let due = self.host.borrow().next_timer();
+            self.timer_wakes_at.set(due.unwrap_or(f64::INFINITY));
             match due {
                 Some(due) => tokio::select! {
-                    // In this order, so that equal runs go equal ways.
+                    // Biased so that equal runs take equal paths.
                     biased;
-                    () = tokio::time::sleep(length(due - self.now())) => {}
-                    () = self.rearm.notified() => {}
+                    () = tokio::time::sleep(duration_from_ms(due - self.now())) => {}
+                    () = self.timer_changed.notified() => {}
                 },
-                None => self.rearm.notified().await,
+                None => self.timer_changed.notified().await,
             }
             self.note_late_timers(due);
             self.timed(Activity::Timers, |host, now| host.tick(now));
-            self.settle();
+            self.execute_orders();
         }
     }
 
-    /// Closes connections that stood idle for long; runs as long as the program.
+    /// Periodically closes expired idle connections; runs as long as the program.
     pub async fn run_sweeps(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(length(SWEEP)).await;
-            self.pool.borrow_mut().sweep(self.now());
+            tokio::time::sleep(duration_from_ms(IDLE_SWEEP_PERIOD_MS)).await;
+            self.pool.borrow_mut().close_expired(self.now());
         }
     }
 
-    /// Does something with the host; how long it held up the program's one thread is recorded.
+    /// Runs an operation on the host and records how long it blocked the single-threaded event
+    /// loop.
     pub(super) fn timed<T>(&self, activity: Activity, act: impl FnOnce(&mut Host, f64) -> T) -> T {
-        let began = self.now();
-        let done = act(&mut self.host.borrow_mut(), began);
-        self.note_held_up(activity, began);
-        done
+        let started_at = self.now();
+        let result = act(&mut self.host.borrow_mut(), started_at);
+        self.note_held_up(activity, started_at);
+        result
     }
 
-    /// The one thread was busy with this since then (ms).
-    pub(super) fn note_held_up(&self, activity: Activity, began: f64) {
+    /// Records that an activity has blocked the event loop since `started_at` (ms).
+    pub(super) fn note_held_up(&self, activity: Activity, started_at: f64) {
         let now = self.now();
-        self.host.borrow_mut().held_up(now, activity, now - began);
+        self.host.borrow_mut().record_held_up(now, activity, now - started_at);
     }
 
-    /// Timers that were due then go off only now.
+    /// Records how late the timers that were due at `due` fire.
     fn note_late_timers(&self, due: Option<f64>) {
         let now = self.now();
         if let Some(late) = due.map(|due| now - due) {
-            self.host.borrow_mut().timers_late(now, late);
+            self.host.borrow_mut().record_late_timers(now, late);
         }
     }
 
-    /// Carries out what routing has ordered, in order.
-    pub(super) fn settle(self: &Rc<Self>) {
+    /// Executes routing's pending orders in sequence.
+    pub(super) fn execute_orders(self: &Rc<Self>) {
         loop {
             let order = self.host.borrow_mut().next_order();
             match order {
-                Some(order) => self.carry_out(order),
+                Some(order) => self.execute_order(order),
                 None => break,
             }
         }
-        if self.host.borrow().next_due().is_some_and(|due| due < self.armed.get()) {
-            self.rearm.notify_one();
+        if self.host.borrow().next_timer().is_some_and(|due| due < self.timer_wakes_at.get()) {
+            self.timer_changed.notify_one();
         }
     }
 
-    fn carry_out(self: &Rc<Self>, order: Order) {
+    fn execute_order(self: &Rc<Self>, order: Order) {
         match order {
-            Order::Forward { id, target, address, patience } => {
-                let wait = self.waiting.borrow().get(&id.flow).map(|w| (w.passing.clone(), w.ended.clone()));
-                // Routing sends only for flows that it holds open, and those wait here.
-                let Some(wait) = wait else { return };
-                let until = self.now() + patience;
-                let task = self.clone().forward(id, target, address, until, wait);
+            Order::Forward { id, target, address, timeout: patience } => {
+                let pending = self
+                    .pending_flows
+                    .borrow()
+                    .get(&id.flow)
+                    .map(|flow| (flow.request.clone(), flow.ended.clone()));
+                // Routing sends only for flows that it holds open, and those are pending here.
+                let Some(pending) = pending else { return };
+                let deadline = self.now() + patience;
+                let task = self.clone().forward(id, target, address, deadline, pending);
                 self.forwards.borrow_mut().insert(id, tokio::task::spawn_local(task).into());
             }
             Order::GiveUp(id) => drop(self.forwards.borrow_mut().remove(&id)),
             Order::Answer(id, answer) => {
-                // A client that has left in this very moment hears nothing; that is no loss.
-                self.end_wait(id).map(|w| w.answer.send(answer));
+                // A client that left at this very moment does not receive the answer, which is no
+                // loss.
+                self.remove_pending(id).map(|flow| flow.answer.send(answer));
             }
             Order::Probe(target, address) => {
                 let task = self.clone().probe(target, address);
                 self.probes.borrow_mut().insert(target, tokio::task::spawn_local(task).into());
             }
             Order::GiveUpProbe(target) => drop(self.probes.borrow_mut().remove(&target)),
-            Order::CloseIdle(target) => self.pool.borrow_mut().close(target),
+            Order::CloseIdle(target) => self.pool.borrow_mut().close_target(target),
             Order::Watch => {
-                self.watch_wish.set(true);
-                self.watch.notify_one();
+                self.watch_pending.set(true);
+                self.watch_notify.notify_one();
             }
         }
     }
 
     async fn probe(self: Rc<Self>, target: ServerId, address: SocketAddr) {
-        let end = match self.line(target, address, self.connect_timeout).await {
+        let end = match self.connection_to(target, address, self.connect_timeout_ms).await {
             Err(outcome) => ProbeEnd { outcome, load: None },
-            Ok(mut line) => match line.connection.exchange(Outgoing::get("/stats", "origin.svc")).await {
-                Exchange::Answered(status, _, body) => {
-                    self.keep(target, line);
-                    self.read_probe(status, &body)
+            Ok(mut pooled) => {
+                match pooled.connection.exchange(OutgoingRequest::get("/stats", "origin.svc")).await {
+                    ExchangeResult::Answered(status, _, body) => {
+                        self.return_to_pool(target, pooled);
+                        self.read_probe(status, &body)
+                    }
+                    ExchangeResult::Broken { .. } => ProbeEnd { outcome: Outcome::Broken, load: None },
                 }
-                Exchange::Broke { .. } => ProbeEnd { outcome: Outcome::Broken, load: None },
-            },
+            }
         };
         self.timed(Activity::ProbeEnd, |host, now| host.probe_ended(now, target, end));
-        self.settle();
+        self.execute_orders();
         self.probes.borrow_mut().remove(&target);
     }
 
@@ -420,46 +452,50 @@
         }
         let load = std::str::from_utf8(body).ok().and_then(load::read);
         if load.is_none() {
-            count(&self.traffic.bad_reports);
+            increment(&self.counters.reports_unread);
         }
         ProbeEnd { outcome: Outcome::Served, load }
     }
 
-    /// A connection to a target: a kept one, or a new one where the budget has room. Without one it says
-    /// what that tells: an own shortage of descriptors tells nothing of the target.
-    pub(super) async fn line(
+    /// Returns a connection to a target: a pooled one, or a new one if the budget allows. The error
+    /// tells what the failure means for the target; a local shortage of descriptors says nothing
+    /// about it.
+    pub(super) async fn connection_to(
         &self,
         target: ServerId,
         address: SocketAddr,
-        within: f64,
-    ) -> Result<Line, Outcome> {
-        if let Some(line) = self.pool.borrow_mut().take(self.now(), target, address) {
-            count(&self.traffic.reused);
-            return Ok(line);
+        timeout_ms: f64,
+    ) -> Result<PooledConnection, Outcome> {
+        if let Some(pooled) = self.pool.borrow_mut().take(self.now(), target, address) {
+            increment(&self.counters.targets_reused);
+            return Ok(pooled);
         }
-        let permit = self.targets.permit().or_else(|| {
-            self.pool.borrow_mut().evict();
-            self.targets.permit()
+        let permit = self.target_budget.try_acquire().or_else(|| {
+            self.pool.borrow_mut().evict_oldest();
+            self.target_budget.try_acquire()
         });
         let Some(permit) = permit else {
-            count(&self.traffic.spent);
+            increment(&self.counters.descriptors_spent);
             return Err(Outcome::NotSent);
         };
-        let (counter, line) = match connect(&self.network, address, within.min(self.connect_timeout)).await {
-            Ok(connection) => (&self.traffic.opened, Ok(Line { connection, address, permit })),
-            Err(ConnectError::There) => (&self.traffic.unreachable, Err(Outcome::Unreachable)),
-            Err(ConnectError::Here) => (&self.traffic.connects_failed_here, Err(Outcome::NotSent)),
-        };
-        count(counter);
-        line
+        let (counter, pooled) =
+            match connect(&self.network, address, timeout_ms.min(self.connect_timeout_ms)).await {
+                Ok(connection) => {
+                    (&self.counters.targets_connected, Ok(PooledConnection { connection, address, permit }))
+                }
+                Err(ConnectError::Remote) => (&self.counters.targets_unreachable, Err(Outcome::Unreachable)),
+                Err(ConnectError::Local) => (&self.counters.connects_failed_here, Err(Outcome::NotSent)),
+            };
+        increment(counter);
+        pooled
     }
 
-    /// Puts a connection back once it is ready for the next request.
-    pub(super) fn keep(self: &Rc<Self>, target: ServerId, mut line: Line) {
+    /// Returns a connection to the pool once it is ready for the next request.
+    pub(super) fn return_to_pool(self: &Rc<Self>, target: ServerId, mut pooled: PooledConnection) {
         let gateway = self.clone();
         tokio::task::spawn_local(async move {
-            if line.connection.settle().await {
-                gateway.pool.borrow_mut().put(gateway.now(), target, line);
+            if pooled.connection.wait_until_idle().await {
+                gateway.pool.borrow_mut().put(gateway.now(), target, pooled);
             }
         });
     }
--- a/crates/transport/src/network.rs
+++ b/crates/transport/src/network.rs
@@ -1,10 +1,11 @@
-//! The narrow seam below the transport: how streams come into being, and what waits to be read on one.
+//! The interface to the network: how streams are opened and accepted, and what waits to be read on
+//! them.
 //!
-//! Everything above it is generic in [`Network`], so that the program on real sockets pays nothing for
-//! it, and a world in virtual time can stand below the very same listener, pool and watch.
+//! Everything else in the crate is generic over [`Network`], so it costs nothing on real sockets,
+//! and a simulation in virtual time can run the same listener, pool and discovery watch.
 
-use super::meter::Shared;
-use super::steady::is_short;
+use super::retrying_stream::is_resource_shortage;
+use super::write_progress::SharedTcpStream;
 use socket2::SockRef;
 use std::future::Future;
 use std::io::{self, ErrorKind};
@@ -16,77 +17,81 @@
 
 /// What waits to be read on a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unread {
-    /// Nothing, and more may come.
-    Nothing,
-    /// Bytes; whether the other end has closed behind them is not known.
-    Bytes,
-    /// The end: the other side has closed it, or it broke.
-    End,
+pub enum PeekResult {
+    /// No data; more may arrive.
+    Empty,
+    /// Data; it is unknown whether the peer has closed the stream after it.
+    Data,
+    /// The end of the stream: the peer has closed it, or it failed.
+    Closed,
 }
 
-/// Looks at what waits to be read on a stream, without reading it.
-pub type Peek = Rc<dyn Fn() -> Unread>;
+/// Inspects what waits to be read on a stream without reading it.
+pub type Peek = Rc<dyn Fn() -> PeekResult>;
 
-/// Where streams come from.
+/// A source of streams.
 pub trait Network: Clone + 'static {
-    /// A place where clients connect.
+    /// A listening socket.
     type Listener: 'static;
-    /// A client's stream.
-    type Accepted: AsyncRead + AsyncWrite + Unpin + 'static;
+    /// The stream of an accepted client.
+    type AcceptedStream: AsyncRead + AsyncWrite + Unpin + 'static;
     /// A stream to a target or to discovery.
-    type Opened: AsyncRead + AsyncWrite + Unpin + 'static;
+    type ConnectedStream: AsyncRead + AsyncWrite + Unpin + 'static;
 
-    /// Begins to listen.
+    /// Starts listening on an address.
     fn listen(&self, address: SocketAddr) -> impl Future<Output = io::Result<Self::Listener>>;
 
-    /// Waits for the next client; with what looks at its stream.
-    fn accept(&self, listener: &Self::Listener) -> impl Future<Output = io::Result<(Self::Accepted, Peek)>>;
+    /// Waits for the next client; returns its stream and a function that inspects it.
+    fn accept(
+        &self,
+        listener: &Self::Listener,
+    ) -> impl Future<Output = io::Result<(Self::AcceptedStream, Peek)>>;
 
-    /// Opens a stream, with what looks at it.
-    fn connect(&self, address: SocketAddr) -> impl Future<Output = io::Result<(Self::Opened, Peek)>>;
+    /// Opens a stream; returns it with a function that inspects it.
+    fn connect(&self, address: SocketAddr)
+        -> impl Future<Output = io::Result<(Self::ConnectedStream, Peek)>>;
 }
 
-/// The system's sockets.
+/// TCP sockets of the operating system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tcp;
 
 impl Network for Tcp {
     type Listener = TcpListener;
-    type Accepted = Shared;
-    type Opened = Shared;
+    type AcceptedStream = SharedTcpStream;
+    type ConnectedStream = SharedTcpStream;
 
     async fn listen(&self, address: SocketAddr) -> io::Result<TcpListener> {
         TcpListener::bind(address).await
     }
 
-    async fn accept(&self, listener: &TcpListener) -> io::Result<(Shared, Peek)> {
+    async fn accept(&self, listener: &TcpListener) -> io::Result<(SharedTcpStream, Peek)> {
         let (stream, _) = listener.accept().await?;
-        // Without it answers only come later; the connection is good all the same.
+        // Without the option answers are only delayed; the connection is usable all the same.
         let _ = stream.set_nodelay(true);
         Ok(shared(stream))
     }
 
-    async fn connect(&self, address: SocketAddr) -> io::Result<(Shared, Peek)> {
+    async fn connect(&self, address: SocketAddr) -> io::Result<(SharedTcpStream, Peek)> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         Ok(shared(stream))
     }
 }
 
-/// A stream, and what asks the system about it.
-fn shared(stream: TcpStream) -> (Shared, Peek) {
+/// Wraps a stream and returns it with a function that inspects its socket.
+fn shared(stream: TcpStream) -> (SharedTcpStream, Peek) {
     let stream = Rc::new(stream);
     let peeked = stream.clone();
     let peek = Rc::new(move || loop {
         match SockRef::from(&*peeked).peek(&mut [MaybeUninit::uninit()]) {
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            Err(e) if e.kind() == ErrorKind::WouldBlock => return Unread::Nothing,
-            // Not known, so that nothing is concluded from it.
-            Err(e) if is_short(&e) => return Unread::Bytes,
-            Ok(0) | Err(_) => return Unread::End,
-            Ok(_) => return Unread::Bytes,
+            Err(e) if e.kind() == ErrorKind::WouldBlock => return PeekResult::Empty,
+            // The state is unknown, so no conclusion must be drawn from it.
+            Err(e) if is_resource_shortage(&e) => return PeekResult::Data,
+            Ok(0) | Err(_) => return PeekResult::Closed,
+            Ok(_) => return PeekResult::Data,
         }
     });
-    (Shared(stream), peek)
+    (SharedTcpStream(stream), peek)
 }
--- /dev/null
+++ b/crates/transport/src/request_framing.rs
@@ -0,0 +1,159 @@
+//! Inspects the bytes of a client's connection before hyper reads them, to find how each request is
+//! framed.
+//!
+//! If a request has both a `Content-Length` and a `Transfer-Encoding`, hyper drops the former and
+//! uses the latter, so a service cannot tell that both were present. hyper also does not report a
+//! head that has only partly arrived.
+
+use super::tap::Tap;
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+
+/// How a request states where its body ends.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(super) enum Framing {
+    /// By its length; 0 if none is stated.
+    Length(u64),
+    /// By chunked or another transfer encoding.
+    #[default]
+    Chunked,
+    /// By both, which may hide another request in the body.
+    Both,
+}
+
+/// The request being received, tracked as its bytes arrive.
+#[derive(Debug, Default)]
+pub(super) struct IncomingRequest {
+    /// When its first byte arrived.
+    started_at: Cell<Option<f64>>,
+    /// Its head until that is complete.
+    head: RefCell<Vec<u8>>,
+    framing: Cell<Option<Framing>>,
+    /// Number of bytes received after its head.
+    bytes_after_head: Cell<u64>,
+}
+
+impl IncomingRequest {
+    /// When the current request began to arrive.
+    pub fn started_at(&self) -> Option<f64> {
+        self.started_at.get()
+    }
+
+    /// How the request is framed, once its head is complete.
+    pub fn framing(&self) -> Option<Framing> {
+        self.framing.get()
+    }
+
+    /// Whether it is certain that nothing was received after the request. Only then may the next
+    /// request be read, as bytes after this one would pass without inspection.
+    pub fn has_no_trailing_bytes(&self) -> bool {
+        matches!(self.framing.get(), Some(Framing::Length(length)) if self.bytes_after_head.get() <= length)
+    }
+
+    /// Counts bytes received after the request that were discarded.
+    pub fn add_discarded(&self, count: usize) {
+        self.bytes_after_head.set(self.bytes_after_head.get().saturating_add(count as u64));
+    }
+
+    /// Prepares for the next request.
+    pub fn reset(&self) {
+        self.started_at.set(None);
+        self.head.borrow_mut().clear();
+        self.framing.set(None);
+        self.bytes_after_head.set(0);
+    }
+
+    fn feed(&self, now: f64, bytes: &[u8], limit: usize) {
+        if self.framing.get().is_some() {
+            return self.bytes_after_head.set(self.bytes_after_head.get() + bytes.len() as u64);
+        }
+        self.started_at.set(self.started_at.get().or(Some(now)));
+        let mut head = self.head.borrow_mut();
+        // Guards against an endless head; hyper rejects it.
+        let room = (limit + 1).saturating_sub(head.len());
+        head.extend_from_slice(&bytes[..bytes.len().min(room)]);
+        if let Some((end, framing)) = parse_head(&head) {
+            self.bytes_after_head.set((head.len() - end + bytes.len().saturating_sub(room)) as u64);
+            self.framing.set(Some(framing));
+            // Frees the buffer: an idle connection must not keep the memory of a large head.
+            *head = Vec::new();
+        }
+    }
+}
+
+/// Returns where a head ends and how it frames its body, or `None` until it is complete. Accepts
+/// the same line endings as hyper.
+fn parse_head(head: &[u8]) -> Option<(usize, Framing)> {
+    let (mut offset, mut has_request_line) = (0, false);
+    let (mut length, mut has_transfer_encoding) = (None, false);
+    for line in head.split_inclusive(|b| *b == b'\n') {
+        offset += line.len();
+        let text = line.strip_suffix(b"\n")?;
+        let text = text.strip_suffix(b"\r").unwrap_or(text);
+        if text.is_empty() && has_request_line {
+            let framing = match (length, has_transfer_encoding) {
+                (Some(_), true) => Framing::Both,
+                (None, true) => Framing::Chunked,
+                (length, false) => Framing::Length(length.unwrap_or(0)),
+            };
+            return Some((offset, framing));
+        }
+        has_request_line |= !text.is_empty();
+        let Some(colon) = text.iter().position(|b| *b == b':') else { continue };
+        let (name, value) = (text[..colon].trim_ascii(), &text[colon + 1..]);
+        if name.eq_ignore_ascii_case(b"transfer-encoding") {
+            has_transfer_encoding = true;
+        } else if name.eq_ignore_ascii_case(b"content-length") {
+            // hyper rejects values that are not a number.
+            length = Some(std::str::from_utf8(value).ok().and_then(|v| v.trim().parse().ok()).unwrap_or(0));
+        }
+    }
+    None
+}
+
+/// Feeds the bytes received on a client's stream to an [`IncomingRequest`].
+pub(super) struct RequestTap {
+    pub incoming: Rc<IncomingRequest>,
+    pub now: roseproxy_routing::time::Now,
+    /// Longest head that is read (bytes).
+    pub limit: usize,
+}
+
+impl Tap for RequestTap {
+    fn on_read(&mut self, bytes: &[u8]) {
+        self.incoming.feed((self.now)(), bytes, self.limit);
+    }
+}
+
+#[cfg(test)]
+mod tests {
+    use super::*;
+
+    #[test]
+    fn head_is_parsed_incrementally_with_hypers_line_endings() {
+        let whole = |text: &str| parse_head(text.as_bytes()).map(|(_, framing)| framing);
+        assert_eq!(whole("POST / HTTP/1.1\r\nContent-Length: 3\r\n"), None);
+        assert_eq!(whole("POST / HTTP/1.1\r\ncontent-LENGTH: 3\r\n\r\nabc"), Some(Framing::Length(3)));
+        assert_eq!(whole("GET / HTTP/1.1\n\n"), Some(Framing::Length(0)));
+        assert_eq!(whole("\r\n\r\nPOST / HTTP/1.1\nTransfer-Encoding: x\n\r\n"), Some(Framing::Chunked));
+        for both in
+            ["Content-Length: 3\r\nTransfer-Encoding: chunked", "Transfer-Encoding:chunked\nContent-Length:3"]
+        {
+            assert_eq!(whole(&format!("POST / HTTP/1.1\r\n{both}\r\n\r\n")), Some(Framing::Both));
+        }
+    }
+
+    #[test]
+    fn bytes_after_a_request_are_detected() {
+        let incoming = IncomingRequest::default();
+        incoming.feed(5.0, b"POST / HTTP/1.1\r\nContent-Length: 3\r\n", 1000);
+        assert_eq!((incoming.started_at(), incoming.framing()), (Some(5.0), None));
+        incoming.feed(6.0, b"\r\nab", 1000);
+        incoming.feed(7.0, b"c", 1000);
+        assert!(incoming.has_no_trailing_bytes() && incoming.started_at() == Some(5.0));
+        incoming.feed(8.0, b"P", 1000);
+        assert!(!incoming.has_no_trailing_bytes());
+        incoming.reset();
+        assert_eq!((incoming.started_at(), incoming.framing()), (None, None));
+    }
+}
