--- a/crates/soak/shim/faults.c
+++ b/crates/soak/shim/faults.c
@@ -1,7 +1,7 @@
-/* Fails system calls of the process that it is preloaded into, as Linux documents that they may fail.
+/* Preloaded library that makes system calls of its process fail, with errors that Linux documents for them.
  *
- * SOAK_SHIM names the control file, which the soak test rewrites in place while the process runs: one struct control. A
- * rate is a chance in a million. Without a control file every call passes through. */
+ * The environment variable SOAK_SHIM names the control file, which holds one struct control and which the soak test
+ * rewrites in place while the process runs. Without a control file every call is passed through. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -18,29 +18,29 @@
 #include <unistd.h>
 
 struct fault {
-    uint32_t error;
-    uint32_t rate;
+    uint32_t error; /* errno that the call fails with */
+    uint32_t rate;  /* failures per million calls */
 };
 
-/* The order of crates/soak/src/shim.rs. */
+/* Layout of the control file; has to match `Faults` in crates/soak/src/shim.rs. */
 struct control {
     struct fault accept;
     struct fault socket;
     struct fault connect;
-    struct fault interrupt; /* reads and writes; waits too where it is EINTR */
-    struct fault shorten;   /* reads and writes of a part */
-    struct fault broken;    /* connections that this process opened */
-    struct fault config;    /* opening the configuration */
+    struct fault interrupt; /* reads and writes, and also waits if the error is EINTR */
+    struct fault shorten;   /* partial reads and writes; the error is ignored */
+    struct fault broken;    /* breaks connections that this process opened */
+    struct fault config;    /* opening the configuration file */
     struct fault log;       /* writing to standard error */
-    int64_t wall_offset_ns;
+    int64_t wall_offset_ns; /* added to CLOCK_REALTIME */
 };
 
-#define MOST_DESCRIPTORS 4096
+#define MAX_DESCRIPTORS 4096
 static volatile const struct control *control;
-static unsigned char opened[MOST_DESCRIPTORS]; /* connections that this process opened */
-static uint64_t state = 88172645463325252ull;
+static unsigned char outbound[MAX_DESCRIPTORS]; /* descriptors of connections that this process opened */
+static uint64_t rng_state = 88172645463325252ull;
 
-__attribute__((constructor)) static void start(void) {
+__attribute__((constructor)) static void map_control(void) {
     const char *path = getenv("SOAK_SHIM");
     int file = path ? open(path, O_RDONLY | O_CLOEXEC) : -1;
     if (file < 0)
@@ -49,38 +49,40 @@
     close(file);
     if (map != MAP_FAILED)
         control = map;
-    state ^= (uint64_t)getpid() << 20;
+    rng_state ^= (uint64_t)getpid() << 20;
 }
 
-/* Whether a fault strikes now; errno is set then. */
-static int strikes(volatile const struct fault *fault) {
+/* Draws (xorshift64) whether a call fails by this fault; sets errno if so. */
+static int should_fail(volatile const struct fault *fault) {
     if (!control || fault->rate == 0)
         return 0;
-    state ^= state << 13;
-    state ^= state >> 7;
-    state ^= state << 17;
-    if (state % 1000000 >= fault->rate)
+    rng_state ^= rng_state << 13;
+    rng_state ^= rng_state >> 7;
+    rng_state ^= rng_state << 17;
+    if (rng_state % 1000000 >= fault->rate)
         return 0;
     errno = (int)fault->error;
     return 1;
 }
 
-#define REAL(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
-#define CACHED(name)                         \
+/* The C library's function that this library wraps. */
+#define NEXT_SYMBOL(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
+/* Defines `real` as the wrapped function, looked up once. */
+#define RESOLVE_REAL(name)                   \
     static __typeof__(&name) real;           \
     if (!real)                               \
-        real = REAL(name)
+        real = NEXT_SYMBOL(name)
 
-static int is_opened(int fd) { return fd >= 0 && fd < MOST_DESCRIPTORS && opened[fd]; }
+static int is_outbound(int fd) { return fd >= 0 && fd < MAX_DESCRIPTORS && outbound[fd]; }
 
-static void mark(int fd, int is) {
-    if (fd >= 0 && fd < MOST_DESCRIPTORS)
-        opened[fd] = (unsigned char)is;
+static void set_outbound(int fd, int value) {
+    if (fd >= 0 && fd < MAX_DESCRIPTORS)
+        outbound[fd] = (unsigned char)value;
 }
 
-/* A connection breaks for good: its other end sees that, too. */
-static int breaks(int fd) {
-    if (!is_opened(fd) || !strikes(&control->broken))
+/* Draws whether a connection breaks. It is shut down then, so that it stays broken and its other end notices, too. */
+static int break_connection(int fd) {
+    if (!is_outbound(fd) || !should_fail(&control->broken))
         return 0;
     int error = errno;
     shutdown(fd, SHUT_RDWR);
@@ -89,57 +91,58 @@
 }
 
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) {
-    CACHED(accept4);
-    if (control && strikes(&control->accept))
+    RESOLVE_REAL(accept4);
+    if (control && should_fail(&control->accept))
         return -1;
     int new = real(fd, address, length, flags);
-    mark(new, 0);
+    set_outbound(new, 0);
     return new;
 }
 
 int socket(int domain, int type, int protocol) {
-    CACHED(socket);
-    if (control && domain == AF_INET && strikes(&control->socket))
+    RESOLVE_REAL(socket);
+    if (control && domain == AF_INET && should_fail(&control->socket))
         return -1;
     int new = real(domain, type, protocol);
-    mark(new, 0);
+    set_outbound(new, 0);
     return new;
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
-    CACHED(connect);
-    if (control && strikes(&control->connect))
+    RESOLVE_REAL(connect);
+    if (control && should_fail(&control->connect))
         return -1;
-    mark(fd, 1);
+    set_outbound(fd, 1);
     return real(fd, address, length);
 }
 
-/* Whether a call is interrupted. Sockets of the process to itself are spared: theirs never wait, so that Linux does not
- * interrupt them, and the runtime's own wake-ups are not what is tested. */
-static int interrupted(int fd) {
+/* Draws whether a call is interrupted. Only AF_INET sockets are affected: calls on the sockets that the process
+ * uses internally never block, so Linux does not interrupt them, and the runtime's own wake-ups are not under test. */
+static int should_interrupt(int fd) {
     int domain;
     socklen_t length = sizeof domain;
     if (control->interrupt.rate == 0 || getsockopt(fd, SOL_SOCKET, SO_DOMAIN, &domain, &length) != 0)
         return 0;
-    return domain == AF_INET && strikes(&control->interrupt);
+    return domain == AF_INET && should_fail(&control->interrupt);
 }
 
-static size_t shortened(size_t length) {
-    return control && length > 1 && strikes(&control->shorten) ? 1 + length / 3 : length;
+/* The length to transfer: all of it, or about a third if the call is to be partial. */
+static size_t partial_length(size_t length) {
+    return control && length > 1 && should_fail(&control->shorten) ? 1 + length / 3 : length;
 }
 
 ssize_t recv(int fd, void *buffer, size_t length, int flags) {
-    CACHED(recv);
-    if (control && (interrupted(fd) || (!(flags & MSG_PEEK) && breaks(fd))))
+    RESOLVE_REAL(recv);
+    if (control && (should_interrupt(fd) || (!(flags & MSG_PEEK) && break_connection(fd))))
         return -1;
-    return real(fd, buffer, flags & MSG_PEEK ? length : shortened(length), flags);
+    return real(fd, buffer, flags & MSG_PEEK ? length : partial_length(length), flags);
 }
 
 ssize_t send(int fd, const void *buffer, size_t length, int flags) {
-    CACHED(send);
-    if (control && (interrupted(fd) || breaks(fd)))
+    RESOLVE_REAL(send);
+    if (control && (should_interrupt(fd) || break_connection(fd)))
         return -1;
-    return real(fd, buffer, shortened(length), flags);
+    return real(fd, buffer, partial_length(length), flags);
 }
 
 static int is_socket(int fd) {
@@ -149,13 +152,13 @@
 }
 
 ssize_t writev(int fd, const struct iovec *parts, int count) {
-    CACHED(writev);
-    if (control && fd == STDERR_FILENO && strikes(&control->log))
+    RESOLVE_REAL(writev);
+    if (control && fd == STDERR_FILENO && should_fail(&control->log))
         return -1;
     if (control && is_socket(fd)) {
-        if (interrupted(fd) || breaks(fd))
+        if (should_interrupt(fd) || break_connection(fd))
             return -1;
-        if (count > 0 && parts[0].iov_len > 1 && strikes(&control->shorten)) {
+        if (count > 0 && parts[0].iov_len > 1 && should_fail(&control->shorten)) {
             struct iovec part = {parts[0].iov_base, 1 + parts[0].iov_len / 3};
             return real(fd, &part, 1);
         }
@@ -164,18 +167,18 @@
 }
 
 ssize_t write(int fd, const void *buffer, size_t length) {
-    CACHED(write);
-    if (control && fd == STDERR_FILENO && strikes(&control->log))
+    RESOLVE_REAL(write);
+    if (control && fd == STDERR_FILENO && should_fail(&control->log))
         return -1;
     return real(fd, buffer, length);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout) {
-    CACHED(epoll_wait);
-    /* Of the errors of reads and writes this call knows one. */
-    if (control && control->interrupt.error == EINTR && strikes(&control->interrupt))
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout) {
+    RESOLVE_REAL(epoll_wait);
+    /* EINTR is the only one of the errors for reads and writes that epoll_wait can return. */
+    if (control && control->interrupt.error == EINTR && should_fail(&control->interrupt))
         return -1;
-    return real(fd, events, most, timeout);
+    return real(fd, events, max_events, timeout);
 }
 
 static int is_config(const char *path) {
@@ -183,28 +186,28 @@
     return config && path && strcmp(config, path) == 0;
 }
 
-#define OPEN(name)                                                    \
-    int name(const char *path, int flags, ...) {                      \
-        CACHED(name);                                                 \
-        va_list rest;                                                 \
-        va_start(rest, flags);                                        \
-        mode_t mode = flags & (O_CREAT | O_TMPFILE) ? va_arg(rest, mode_t) : 0; \
-        va_end(rest);                                                 \
-        if (control && is_config(path) && strikes(&control->config))  \
-            return -1;                                                \
-        return real(path, flags, mode);                               \
+#define OPEN(name)                                                            \
+    int name(const char *path, int flags, ...) {                              \
+        RESOLVE_REAL(name);                                                   \
+        va_list arguments;                                                    \
+        va_start(arguments, flags);                                           \
+        mode_t mode = flags & (O_CREAT | O_TMPFILE) ? va_arg(arguments, mode_t) : 0; \
+        va_end(arguments);                                                    \
+        if (control && is_config(path) && should_fail(&control->config))      \
+            return -1;                                                        \
+        return real(path, flags, mode);                                       \
     }
 
 OPEN(open)
 OPEN(open64)
 
 int clock_gettime(clockid_t clock, struct timespec *time) {
-    CACHED(clock_gettime);
-    int done = real(clock, time);
-    if (done == 0 && control && clock == CLOCK_REALTIME) {
+    RESOLVE_REAL(clock_gettime);
+    int result = real(clock, time);
+    if (result == 0 && control && clock == CLOCK_REALTIME) {
         int64_t at = time->tv_sec * 1000000000ll + time->tv_nsec + control->wall_offset_ns;
         time->tv_sec = at / 1000000000ll;
         time->tv_nsec = at % 1000000000ll;
     }
-    return done;
+    return result;
 }
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,6 +1,6 @@
-//! The processes of a run: sidecars, endpoints, discovery and clients, on ports that were free at its start.
+//! Processes of a run: sidecars, endpoints, discovery and clients, on ports that were free when the run began.
 
-use crate::control::{ClientConduct, EndpointConduct, Member, Registry};
+use crate::control::{ClientBehavior, EndpointBehavior, Member, Registry};
 use crate::records::{now, Record};
 use crate::settings::Settings;
 use crate::shim::{self, Control, Faults};
@@ -20,27 +20,28 @@
 use tokio::process::{Child, Command};
 use tokio::task::spawn_local;
 
-/// Where ports are looked for.
-const PORTS: Range<u16> = 11_000..31_000;
-/// How long a sidecar may take to become ready (ms).
-const READY: f64 = 30_000.0;
-/// How long after SIGTERM clients still open connections (ms); up to SIGKILL they ask on those that are open.
-const STILL_CONNECT: f64 = 300.0;
-/// The cell of endpoints that are only listed, and the number of the process that serves them.
+/// Range in which free ports are searched.
+const PORT_RANGE: Range<u16> = 11_000..31_000;
+/// Maximum time for a sidecar to become ready before the start is given up.
+const READY_TIMEOUT_MS: f64 = 30_000.0;
+/// Time after SIGTERM during which clients still open connections; from then until SIGKILL they use open ones only.
+const CONNECT_GRACE_MS: f64 = 300.0;
+/// Cell of the listed-only endpoints.
 pub const LISTED_CELL: u32 = 9;
+/// Number of the process that serves the listed-only endpoints.
 const LISTED_NUMBER: usize = 1_000_000;
 
-/// The phase of an endpoint that takes work.
+/// Phase of an endpoint that accepts work.
 pub const IN_SERVICE: &str = "in_service";
 
-/// What measuring may be off by on a machine that is not busy (ms).
-pub const USUAL_SLACK: f64 = 50.0;
+/// Measurement error to allow for on a machine that is not busy.
+pub const BASE_SLACK_MS: f64 = 50.0;
 
-/// A config server.
+/// An endpoint process, which stands in for a config server.
 pub struct Endpoint {
-    /// Its entry in the list.
+    /// Entry in the list.
     pub member: Member,
-    /// Its process.
+    /// Handle of the process.
     pub process: Rc<StandIn>,
 }
 
@@ -48,66 +49,69 @@
 pub struct Sidecar {
     number: usize,
     listen: u16,
-    ports: [u16; 2],
+    discovery_ports: [u16; 2],
     config: PathBuf,
-    /// What fails in its process.
+    /// Control file for the faults injected into its process.
     pub control: Control,
-    /// Its clients.
+    /// Client stand-in that sends requests to this sidecar.
     pub clients: StandIn,
     child: RefCell<Option<Child>>,
-    /// The list as its process had it last: the next one starts on it.
-    kept: RefCell<Option<Registry>>,
-    /// How often it has been started; each start has a log of its own.
+    /// The last list that its process had; the next process starts on it.
+    last_list: RefCell<Option<Registry>>,
+    /// Number of starts so far; each start has a log file of its own.
     starts: Cell<u64>,
-    /// Whether it is being restarted.
-    pub busy: Cell<bool>,
-    /// Whether it was told to end, so long ago that no client opens connections to it any more.
-    leaving: Cell<bool>,
-    conduct: Cell<ClientConduct>,
-    wanted: Cell<ClientConduct>,
+    /// Whether the sidecar is being stopped or restarted by a fault.
+    pub restarting: Cell<bool>,
+    /// Whether SIGTERM was sent more than `CONNECT_GRACE_MS` ago, so that clients only use open connections.
+    open_only: Cell<bool>,
+    /// Behavior that its clients were last sent; their rate is 0 while the sidecar does not serve.
+    current_behavior: Cell<ClientBehavior>,
+    /// Behavior that its clients have whenever the sidecar serves.
+    wanted_behavior: Cell<ClientBehavior>,
 }
 
-/// All of them.
+/// All processes of a run.
 pub struct Fleet {
-    /// The settings.
+    /// Settings of the run.
     pub settings: Settings,
-    /// The sidecars.
+    /// Sidecars, by number.
     pub sidecars: Vec<Sidecar>,
-    /// The endpoints that run.
+    /// Endpoints whose processes run.
     pub endpoints: RefCell<Vec<Endpoint>>,
-    /// What discovery is told.
+    /// State that discovery is sent.
     pub registry: RefCell<Registry>,
-    /// What happened.
+    /// What was done to the processes so far.
     pub timeline: RefCell<Timeline>,
-    /// What was seen.
+    /// Records that the stand-ins have reported so far.
     pub records: Rc<RefCell<Vec<Record>>>,
-    /// What all sidecars' calls fail by.
+    /// Faults in force in all sidecars.
     pub faults: Cell<Faults>,
     discovery: StandIn,
-    /// Serves the endpoints that are only listed.
+    /// Serves the listed-only endpoints.
     _listed: Option<StandIn>,
-    /// How much longer than the page says SIGKILL waits (ms): nothing, unless the machine is known to be busy.
-    pub kill_slack: f64,
+    /// Delay of SIGKILL beyond the specified time (ms): 0 unless a larger slack says that the machine is busy.
+    pub kill_slack_ms: f64,
     program: PathBuf,
     library: PathBuf,
     folder: PathBuf,
     seed: u64,
     last_endpoint: Cell<usize>,
-    /// Whether new configurations are written by half for now.
+    /// Whether new configurations are currently written only half.
     pub half_written: Cell<bool>,
 }
 
-/// Ports that are free now. They lie below those that the system takes for outgoing connections, so that none of
-/// those takes one before its process has bound it; runs at the same time begin at different ones.
+/// Finds ports that are currently free. They lie below the system's range for outgoing connections, so that no outgoing
+/// connection takes one before its process has bound it. Concurrent runs begin at different ports.
 fn free_ports(count: usize) -> Result<Vec<u16>, String> {
     static NEXT: AtomicU16 = AtomicU16::new(0);
-    let first = PORTS.start + (std::process::id() * 211 % u32::from(PORTS.end - PORTS.start)) as u16;
+    let first =
+        PORT_RANGE.start + (std::process::id() * 211 % u32::from(PORT_RANGE.end - PORT_RANGE.start)) as u16;
     let _ = NEXT.compare_exchange(0, first, Ordering::Relaxed, Ordering::Relaxed);
     let mut free = Vec::new();
-    for _ in PORTS {
+    for _ in PORT_RANGE {
         let port = NEXT.fetch_add(1, Ordering::Relaxed);
-        if port >= PORTS.end {
-            NEXT.store(PORTS.start, Ordering::Relaxed);
+        if port >= PORT_RANGE.end {
+            NEXT.store(PORT_RANGE.start, Ordering::Relaxed);
         } else if TcpListener::bind(("127.0.0.1", port)).is_ok() {
             free.push(port);
         }
@@ -115,60 +119,61 @@
             return Ok(free);
         }
     }
-    Err("no free ports".into())
+    Err(format!("fewer than {count} free ports in {PORT_RANGE:?}"))
 }
 
-fn words<const N: usize>(parts: [&dyn ToString; N]) -> Vec<String> {
+fn to_strings<const N: usize>(parts: [&dyn ToString; N]) -> Vec<String> {
     parts.iter().map(|part| part.to_string()).collect()
 }
 
-/// Waits so long (ms); not at all for less than nothing.
-pub async fn sleep(millis: f64) {
-    tokio::time::sleep(Duration::from_secs_f64(millis.max(0.0) / 1e3)).await;
+/// Sleeps for a time in ms; a negative time counts as 0.
+pub async fn sleep_ms(ms: f64) {
+    tokio::time::sleep(Duration::from_secs_f64(ms.max(0.0) / 1e3)).await;
 }
 
 impl Fleet {
-    /// Starts the stand-ins of a run with this seed and slack (ms); the sidecars are started by [`Fleet::start_all`].
+    /// Starts the stand-ins of a run with this seed and slack (ms). [`Fleet::start_all`] starts the sidecars.
     pub fn new(
         settings: Settings,
         endpoints: usize,
         program: &Path,
         folder: &Path,
-        (seed, slack): (u64, f64),
+        (seed, slack_ms): (u64, f64),
     ) -> Result<Rc<Fleet>, String> {
         let records = Rc::new(RefCell::new(Vec::new()));
         let ports = free_ports(settings.sidecars * 3)?;
-        let (listens, calls) = ports.split_at(settings.sidecars);
-        let mut arguments = words([&"discovery"]);
-        arguments.extend(calls.iter().map(u16::to_string));
+        let (listen_ports, discovery_ports) = ports.split_at(settings.sidecars);
+        let mut arguments = to_strings([&"discovery"]);
+        arguments.extend(discovery_ports.iter().map(u16::to_string));
         let discovery = StandIn::start(&arguments, records.clone())?;
         let library = shim::build(folder)?;
         let mut sidecars = Vec::new();
-        for (number, listen) in listens.iter().enumerate() {
-            let own_seed = seed * 1_000 + number as u64;
-            let arguments = words([&"client", &number, listen, &own_seed, &slack, &settings.deadline]);
+        for (number, listen) in listen_ports.iter().enumerate() {
+            let client_seed = seed * 1_000 + number as u64;
+            let arguments =
+                to_strings([&"client", &number, listen, &client_seed, &slack_ms, &settings.deadline]);
             let control = Control::new(folder.join(format!("sidecar-{number}.faults")));
             sidecars.push(Sidecar {
                 number,
                 listen: *listen,
-                ports: [calls[number * 2], calls[number * 2 + 1]],
+                discovery_ports: [discovery_ports[number * 2], discovery_ports[number * 2 + 1]],
                 config: folder.join(format!("sidecar-{number}.json")),
-                control: control.map_err(|e| format!("the control file: {e}"))?,
+                control: control.map_err(|e| format!("control file of sidecar {number}: {e}"))?,
                 clients: StandIn::start(&arguments, records.clone())?,
                 child: RefCell::new(None),
-                kept: RefCell::new(None),
+                last_list: RefCell::new(None),
                 starts: Cell::new(0),
-                busy: Cell::new(false),
-                leaving: Cell::new(false),
-                conduct: Cell::default(),
-                wanted: Cell::default(),
+                restarting: Cell::new(false),
+                open_only: Cell::new(false),
+                current_behavior: Cell::default(),
+                wanted_behavior: Cell::default(),
             });
         }
         let mut registry = Registry::default();
         let mut listed = None;
         if settings.listed > 0 {
             (registry.listed, registry.listed_port) = (settings.listed, free_ports(1)?[0]);
-            let arguments = words([
+            let arguments = to_strings([
                 &"endpoint",
                 &LISTED_NUMBER,
                 &LISTED_CELL,
@@ -188,7 +193,7 @@
             faults: Cell::default(),
             discovery,
             _listed: listed,
-            kill_slack: (slack - USUAL_SLACK).max(0.0),
+            kill_slack_ms: (slack_ms - BASE_SLACK_MS).max(0.0),
             program,
             library,
             folder: folder.to_owned(),
@@ -202,18 +207,19 @@
         Ok(fleet)
     }
 
-    /// Starts an endpoint, under the id and at the port of one that is gone or under a new one. Returns its number.
-    pub fn add_endpoint(&self, old: Option<&Member>, warm: bool) -> Result<usize, String> {
+    /// Starts an endpoint and returns its number. It takes over the id and the port of `previous`, if given, or gets
+    /// new ones.
+    pub fn add_endpoint(&self, previous: Option<&Member>, warm: bool) -> Result<usize, String> {
         let number = self.last_endpoint.get() + 1;
         self.last_endpoint.set(number);
-        let port = match old {
+        let port = match previous {
             Some(member) => member.port,
             None => free_ports(1)?[0],
         };
-        let id = old.map_or(number, |member| member.id);
+        let id = previous.map_or(number, |member| member.id);
         let cell = (id % 3) as u32;
         let arguments =
-            words([&"endpoint", &number, &cell, &port, &(self.seed * 1_000 + 500 + number as u64)]);
+            to_strings([&"endpoint", &number, &cell, &port, &(self.seed * 1_000 + 500 + number as u64)]);
         let process = Rc::new(StandIn::start(&arguments, self.records.clone())?);
         let up_since_ms = if warm { 0.0 } else { now().round() };
         let member = Member { endpoint: number, id, port, cell, phase: "in_service".into(), up_since_ms };
@@ -226,13 +232,13 @@
         Ok(number)
     }
 
-    /// Has the list say that an endpoint drains, is gone, or is in service again.
-    pub async fn announce(&self, number: usize, phase: &str) {
+    /// Sets the phase of an endpoint in the list: draining, gone or in service again.
+    pub async fn set_phase(&self, number: usize, phase: &str) {
         let mut event = None;
         for member in self.registry.borrow_mut().members.iter_mut().filter(|m| m.endpoint == number) {
             event = match (member.phase == IN_SERVICE, phase == IN_SERVICE) {
-                (true, false) => Some(EndpointEvent::Leaves),
-                (false, true) => Some(EndpointEvent::Returns),
+                (true, false) => Some(EndpointEvent::LeftService),
+                (false, true) => Some(EndpointEvent::ReturnedToService),
                 _ => None,
             };
             phase.clone_into(&mut member.phase);
@@ -242,14 +248,14 @@
         self.publish().await;
     }
 
-    /// Tells discovery the list and its own conduct.
+    /// Sends the list and the behavior of discovery to the discovery process.
     pub async fn publish(&self) {
         self.registry.borrow_mut().revision += 1;
         let state = self.registry.borrow().clone();
-        self.discovery.tell(&state).await;
+        self.discovery.send(&state).await;
     }
 
-    /// Ends an endpoint's process.
+    /// Kills the process of an endpoint.
     pub fn remove_endpoint(&self, number: usize) -> Option<Member> {
         let mut endpoints = self.endpoints.borrow_mut();
         let at = endpoints.iter().position(|e| e.member.endpoint == number)?;
@@ -258,20 +264,20 @@
         Some(endpoint.member)
     }
 
-    /// The process of an endpoint that runs.
+    /// Returns the process of a running endpoint.
     pub fn endpoint(&self, number: usize) -> Option<Rc<StandIn>> {
         let endpoints = self.endpoints.borrow();
         endpoints.iter().find(|e| e.member.endpoint == number).map(|e| e.process.clone())
     }
 
-    /// Has an endpoint behave differently.
-    pub async fn conduct(&self, number: usize, conduct: EndpointConduct) {
+    /// Changes the behavior of an endpoint.
+    pub async fn set_endpoint_behavior(&self, number: usize, behavior: EndpointBehavior) {
         if let Some(process) = self.endpoint(number) {
-            process.tell(&conduct).await;
+            process.send(&behavior).await;
         }
     }
 
-    /// Has all sidecars' calls fail as `change` says.
+    /// Changes the faults in all sidecars.
     pub fn change_faults(&self, change: impl FnOnce(&mut Faults)) {
         let mut faults = self.faults.get();
         change(&mut faults);
@@ -281,48 +287,48 @@
         }
     }
 
-    /// Has the clients of a sidecar behave differently.
-    pub async fn ask(&self, number: usize, change: impl FnOnce(&mut ClientConduct)) {
+    /// Changes the behavior of a sidecar's clients; while they are stopped, it takes effect when they resume.
+    pub async fn change_client_behavior(&self, number: usize, change: impl FnOnce(&mut ClientBehavior)) {
         let sidecar = &self.sidecars[number];
-        let mut wanted = sidecar.wanted.get();
+        let mut wanted = sidecar.wanted_behavior.get();
         change(&mut wanted);
-        sidecar.wanted.set(wanted);
-        if sidecar.conduct.get().rate > 0.0 {
-            sidecar.say(wanted).await;
+        sidecar.wanted_behavior.set(wanted);
+        if sidecar.current_behavior.get().rate > 0.0 {
+            sidecar.send_behavior(wanted).await;
         }
     }
 
-    /// Has the clients of a sidecar that is ready ask as they were told.
-    pub async fn resume(&self, number: usize) {
+    /// Makes the clients of a ready sidecar behave as requested.
+    pub async fn apply_client_behavior(&self, number: usize) {
         let sidecar = &self.sidecars[number];
-        sidecar.say(sidecar.wanted.get()).await;
+        sidecar.send_behavior(sidecar.wanted_behavior.get()).await;
     }
 
-    fn event(&self, sidecar: usize, event: SidecarEvent) {
+    fn record_event(&self, sidecar: usize, event: SidecarEvent) {
         self.timeline.borrow_mut().sidecars.push((now(), sidecar, event));
     }
 
     fn write_config(&self, sidecar: &Sidecar) -> Result<(), String> {
-        let discovery = sidecar.ports[self.registry.borrow().port];
+        let discovery = sidecar.discovery_ports[self.registry.borrow().active_port];
         let name = format!("sidecar-{}", sidecar.number);
         let seed = self.seed * 1_000_000 + sidecar.number as u64 * 1_000 + sidecar.starts.get();
         let mut config = self.settings.config(&name, sidecar.listen, discovery, seed);
-        if let Some(kept) = sidecar.kept.borrow().as_ref().filter(|_| self.settings.kept_lists) {
-            config["known"] = crate::discovery::list(kept, true, &kept.members);
+        if let Some(last_list) = sidecar.last_list.borrow().as_ref().filter(|_| self.settings.kept_lists) {
+            config["known"] = crate::discovery::to_json(last_list, true, &last_list.members);
         }
-        // Replaced whole: half a file is never read.
-        let fresh = sidecar.config.with_extension("new");
+        // The file is replaced by a rename, so that a sidecar never reads half of it.
+        let new_file = sidecar.config.with_extension("new");
         let text = config.to_string();
-        // A folder that is replaced badly: what is read in between ends too early.
+        // Simulates a writer that does not replace the file atomically: a read in between ends too early.
         if self.half_written.get() {
             let half = &text[..text.len() / 2];
             return std::fs::write(&sidecar.config, half).map_err(|e| format!("{name}: {e}"));
         }
-        let written = std::fs::write(&fresh, text);
-        written.and_then(|()| std::fs::rename(&fresh, &sidecar.config)).map_err(|e| format!("{name}: {e}"))
+        let written = std::fs::write(&new_file, text);
+        written.and_then(|()| std::fs::rename(&new_file, &sidecar.config)).map_err(|e| format!("{name}: {e}"))
     }
 
-    /// Starts a sidecar, waits until it is ready, and has its clients ask.
+    /// Starts a sidecar, waits until it is ready, and then starts the load of its clients.
     pub async fn start(self: &Rc<Self>, number: usize) -> Result<(), String> {
         let sidecar = &self.sidecars[number];
         sidecar.starts.set(sidecar.starts.get() + 1);
@@ -341,24 +347,24 @@
             .kill_on_drop(true);
         let child = command.spawn().map_err(|e| format!("{}: {e}", self.program.display()))?;
         *sidecar.child.borrow_mut() = Some(child);
-        self.event(number, SidecarEvent::Started);
-        let began = now();
-        while now() - began < READY {
+        self.record_event(number, SidecarEvent::Started);
+        let started_at = now();
+        while now() - started_at < READY_TIMEOUT_MS {
             if sidecar.get("/health/ready").await.is_some_and(|answer| answer.starts_with("HTTP/1.1 200")) {
-                self.event(number, SidecarEvent::Ready);
-                sidecar.say(sidecar.wanted.get()).await;
+                self.record_event(number, SidecarEvent::Ready);
+                sidecar.send_behavior(sidecar.wanted_behavior.get()).await;
                 return Ok(());
             }
-            if self.exited(number, false) {
+            if self.check_exited(number, false) {
                 return Ok(());
             }
-            sleep(20.0).await;
+            sleep_ms(20.0).await;
         }
-        self.event(number, SidecarEvent::NeverReady);
+        self.record_event(number, SidecarEvent::NotReadyInTime);
         Ok(())
     }
 
-    /// Starts all sidecars at once.
+    /// Starts all sidecars concurrently.
     pub async fn start_all(self: &Rc<Self>) -> Result<(), String> {
         let number = |sidecar: &Sidecar| sidecar.number;
         let starting: Vec<_> = self
@@ -370,94 +376,95 @@
                 spawn_local(async move { fleet.start(number).await })
             })
             .collect();
-        for one in starting {
-            one.await.map_err(|e| e.to_string())??;
+        for task in starting {
+            task.await.map_err(|e| e.to_string())??;
         }
         Ok(())
     }
 
-    /// Whether a sidecar's process has exited; that is recorded once.
-    pub fn exited(&self, number: usize, expected: bool) -> bool {
+    /// Checks whether a sidecar's process has exited; the exit is recorded once.
+    pub fn check_exited(&self, number: usize, expected: bool) -> bool {
         let mut child = self.sidecars[number].child.borrow_mut();
         let Some(running) = child.as_mut() else { return true };
         let Ok(Some(status)) = running.try_wait() else { return false };
         *child = None;
         drop(child);
-        self.event(number, SidecarEvent::Exited { expected, status: status.to_string() });
+        self.record_event(number, SidecarEvent::Exited { expected, status: status.to_string() });
         true
     }
 
     /// Sends a signal to a sidecar's process.
     pub fn signal(&self, number: usize, signal: Signal) {
-        if let Some(id) = self.process(number) {
-            // One that has ended in this moment hears nothing.
+        if let Some(id) = self.pid(number) {
+            // The process may have exited just now; the error is then of no interest.
             let _ = kill_process(id, signal);
         }
     }
 
-    /// The id of a sidecar's process, which is not free before this program has seen its end.
-    fn process(&self, number: usize) -> Option<Pid> {
+    /// Process id of a sidecar. The system does not reuse it until this program has reaped the process.
+    fn pid(&self, number: usize) -> Option<Pid> {
         let id = self.sidecars[number].child.borrow().as_ref().and_then(Child::id);
         id.and_then(|id| Pid::from_raw(id as i32))
     }
 
-    /// Writes a sidecar's configuration as it is now, and says nothing.
-    pub fn complete_config(&self, number: usize) {
-        // A sidecar whose file cannot be written goes on with the one before.
+    /// Writes a sidecar's configuration without notifying the sidecar.
+    pub fn write_full_config(&self, number: usize) {
+        // If the file cannot be written, the sidecar continues with its previous configuration.
         let _ = self.write_config(&self.sidecars[number]);
     }
 
-    /// Replaces the configuration and says so.
+    /// Writes a sidecar's configuration and notifies the sidecar by SIGHUP.
     pub fn reload(&self, number: usize) {
         if self.write_config(&self.sidecars[number]).is_ok() {
             self.signal(number, Signal::HUP);
         }
     }
 
-    /// Ends a sidecar in order, as the platform does; further signals may come after the first (ms from then).
-    pub async fn stop(self: &Rc<Self>, number: usize, series: &[(f64, Signal)]) {
+    /// Stops a sidecar as the platform does: SIGTERM, then SIGKILL when its time is over. `later_signals` are sent at
+    /// these times after SIGTERM (ms).
+    pub async fn stop(self: &Rc<Self>, number: usize, later_signals: &[(f64, Signal)]) {
         let sidecar = &self.sidecars[number];
-        self.event(number, SidecarEvent::Terminated);
-        self.keep_list(number);
+        self.record_event(number, SidecarEvent::SigtermSent);
+        self.save_list(number);
         self.signal(number, Signal::TERM);
-        let process = self.process(number);
-        for (after, signal) in series.iter().copied() {
+        let pid = self.pid(number);
+        for (delay_ms, signal) in later_signals.iter().copied() {
             let fleet = self.clone();
             spawn_local(async move {
-                sleep(after).await;
-                // Not the process that was started in its place.
-                if fleet.process(number) == process {
+                sleep_ms(delay_ms).await;
+                // The signal must not reach a process that was started in place of this one.
+                if fleet.pid(number) == pid {
                     fleet.signal(number, signal);
                 }
             });
         }
-        let began = now();
-        sleep(STILL_CONNECT).await;
-        sidecar.leaving.set(true);
-        sidecar.say(sidecar.wanted.get()).await;
-        let kill_after = self.settings.kill_after() + self.kill_slack;
-        while now() - began < kill_after && !self.exited(number, true) {
-            sleep(2.0).await;
+        let started_at = now();
+        sleep_ms(CONNECT_GRACE_MS).await;
+        sidecar.open_only.set(true);
+        sidecar.send_behavior(sidecar.wanted_behavior.get()).await;
+        let kill_after_ms = self.settings.kill_after_ms() + self.kill_slack_ms;
+        while now() - started_at < kill_after_ms && !self.check_exited(number, true) {
+            sleep_ms(2.0).await;
         }
-        if !self.exited(number, true) {
-            self.event(number, SidecarEvent::Killed);
+        if !self.check_exited(number, true) {
+            self.record_event(number, SidecarEvent::KilledAfterTimeout);
             self.kill(number).await;
         }
-        sidecar.leaving.set(false);
-        sidecar.say(ClientConduct::default()).await;
+        sidecar.open_only.set(false);
+        sidecar.send_behavior(ClientBehavior::default()).await;
     }
 
-    /// Keeps the list as it is now for a sidecar's next process.
-    pub fn keep_list(&self, number: usize) {
-        *self.sidecars[number].kept.borrow_mut() = Some(self.registry.borrow().clone());
+    /// Saves the current list for the sidecar's next process.
+    pub fn save_list(&self, number: usize) {
+        *self.sidecars[number].last_list.borrow_mut() = Some(self.registry.borrow().clone());
     }
 
-    /// Ends a sidecar without a word.
-    pub async fn kill_outright(&self, number: usize) {
-        self.event(number, SidecarEvent::KilledOutright);
-        self.keep_list(number);
+    /// Kills a sidecar without SIGTERM.
+    pub async fn kill_abruptly(&self, number: usize) {
+        self.record_event(number, SidecarEvent::KilledAbruptly);
+        self.save_list(number);
         self.kill(number).await;
-        self.sidecars[number].say(ClientConduct::default()).await;
+        self.sidecars[number].send_behavior(ClientBehavior::default()).await;
     }
 
     async fn kill(&self, number: usize) {
@@ -467,7 +474,7 @@
         }
     }
 
-    /// What a sidecar counts.
+    /// Reads the counters of a sidecar.
     pub async fn counters(&self, number: usize) -> Vec<(String, u64)> {
         let answer = self.sidecars[number].get("/health/counters").await.unwrap_or_default();
         let pair = |line: &str| {
@@ -479,16 +486,16 @@
 }
 
 impl Sidecar {
-    /// Has its clients behave differently.
-    async fn say(&self, conduct: ClientConduct) {
-        let conduct = ClientConduct { open_only: self.leaving.get(), ..conduct };
-        self.conduct.set(conduct);
-        self.clients.tell(&conduct).await;
+    /// Sends its clients a new behavior.
+    async fn send_behavior(&self, behavior: ClientBehavior) {
+        let behavior = ClientBehavior { open_only: self.open_only.get(), ..behavior };
+        self.current_behavior.set(behavior);
+        self.clients.send(&behavior).await;
     }
 
-    /// Asks it for one of its own pages.
+    /// Fetches one of the sidecar's health pages.
     async fn get(&self, path: &str) -> Option<String> {
-        let asks = async {
+        let exchange = async {
             let mut stream = TcpStream::connect(("127.0.0.1", self.listen)).await.ok()?;
             let text = format!("GET {path} HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
             stream.write_all(text.as_bytes()).await.ok()?;
@@ -496,6 +503,6 @@
             stream.read_to_string(&mut answer).await.ok()?;
             Some(answer)
         };
-        tokio::time::timeout(Duration::from_secs(2), asks).await.ok().flatten()
+        tokio::time::timeout(Duration::from_secs(2), exchange).await.ok().flatten()
     }
 }
--- a/crates/soak/src/records.rs
+++ b/crates/soak/src/records.rs
@@ -1,24 +1,24 @@
-//! What the stand-in processes tell the soak test: one JSON object a line on their standard output.
+//! Records that the stand-in processes report to the soak test: one JSON object per line on standard output.
 
 use serde::{Deserialize, Serialize};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Effect of a class of requests, as the settings name it.
+/// Request class, by the effect of repeating a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Class {
-    /// May run any number of times.
+    /// May be executed any number of times.
     Safe,
-    /// Repeats are dropped inside a cell for a while.
+    /// Repeats are dropped within a cell for the length of the deduplication window.
     Keyed,
-    /// Must never run twice.
+    /// Must never be executed twice.
     Unsafe,
 }
 
 impl Class {
-    /// All of them.
+    /// All classes.
     pub const ALL: [Class; 3] = [Class::Safe, Class::Keyed, Class::Unsafe];
 
-    /// Its name on the wire.
+    /// Name of the class on the wire.
     pub fn name(self) -> &'static str {
         match self {
             Class::Safe => "quote",
@@ -27,64 +27,105 @@
         }
     }
 
-    /// The class of that name.
-    pub fn named(name: &str) -> Option<Class> {
+    /// Finds the class with this wire name.
+    pub fn from_name(name: &str) -> Option<Class> {
         Class::ALL.into_iter().find(|class| class.name() == name)
     }
 }
 
-/// How a request ended, as its client sees it.
+/// Outcome of a request, as its client sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum End {
-    /// A whole answer came.
-    Answered { status: u16, own: bool },
-    /// The client left before an answer.
-    Left,
-    /// The connection ended without a whole answer; on a connection that had carried a request before or not.
-    Cut { new_connection: bool, partial: bool },
-    /// Nothing came until half a second after the client's time.
-    Silence,
-    /// No connection could be made.
+    /// A complete response arrived; `matches_request` is false if a 200 response carries the body of another request.
+    Answered {
+        status: u16,
+        #[serde(rename = "own")]
+        matches_request: bool,
+    },
+    /// The client left before the response.
+    #[serde(rename = "Left")]
+    ClientLeft,
+    /// The connection ended without a complete response. `new_connection`: it had not carried a request before;
+    /// `partial`: part of a response had arrived.
+    #[serde(rename = "Cut")]
+    ConnectionClosed { new_connection: bool, partial: bool },
+    /// No response arrived up to half a second after the client's timeout.
+    #[serde(rename = "Silence")]
+    TimedOut,
+    /// No connection could be established.
     Unreachable,
-    /// The connection was closed as the request was sent on it, and no other may be opened.
-    Crossed,
+    /// The connection was closed while the request was being sent, and the client may not open another one.
+    #[serde(rename = "Crossed")]
+    ClosedWhileSending,
 }
 
-/// An event that one of the processes saw. `lag` is how late that process itself ran then (ms).
+/// Event observed by a stand-in process. `lag_ms` is the scheduling lag of that process at the time.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Record {
-    /// A client's request has ended. `sent` is when its last byte went out.
-    Request { id: String, sidecar: usize, class: Class, sent: f64, timeout: f64, at: f64, end: End },
-    /// A client that sends what is no request got an error or a close after so long (ms), or nothing.
-    Misbehaved { sidecar: usize, at: f64, within: Option<f64>, lag: f64 },
-    /// An endpoint has read an attempt whole, which told it to take `told` ms.
+    /// A request has ended. `sent_at` is the time at which its last byte was written.
+    Request {
+        id: String,
+        sidecar: usize,
+        class: Class,
+        #[serde(rename = "sent")]
+        sent_at: f64,
+        #[serde(rename = "timeout")]
+        timeout_ms: f64,
+        #[serde(rename = "at")]
+        ended_at: f64,
+        end: End,
+    },
+    /// A client sent malformed input, and got an error or a close after `response_ms`, or nothing at all.
+    #[serde(rename = "Misbehaved")]
+    MalformedInput {
+        sidecar: usize,
+        at: f64,
+        #[serde(rename = "within")]
+        response_ms: Option<f64>,
+        #[serde(rename = "lag")]
+        lag_ms: f64,
+    },
+    /// An endpoint has read an attempt completely; `timeout_ms` is the time that the attempt's header allows it.
     Attempt {
         id: String,
         class: Class,
         endpoint: usize,
         cell: u32,
-        began: f64,
-        whole: f64,
-        told: f64,
-        ran: bool,
-        lag: f64,
+        #[serde(rename = "began")]
+        first_byte_at: f64,
+        #[serde(rename = "whole")]
+        last_byte_at: f64,
+        #[serde(rename = "told")]
+        timeout_ms: f64,
+        #[serde(rename = "ran")]
+        executed: bool,
+        #[serde(rename = "lag")]
+        lag_ms: f64,
+    },
+    /// Discovery has sent the state of an endpoint to a sidecar.
+    #[serde(rename = "Told")]
+    NoticeSent { sidecar: usize, endpoint: usize, at: f64, in_service: bool },
+    /// The connection broke just after the notice sent at this time, so the notice may not have arrived; the change
+    /// then counts as known only after the maximum propagation time.
+    #[serde(rename = "Lost")]
+    NoticeLost { sidecar: usize, endpoint: usize, at: f64 },
+    /// A stand-in met an error of its own, which says nothing about the sidecar.
+    #[serde(rename = "Trouble")]
+    StandInError {
+        #[serde(rename = "what")]
+        message: String,
     },
-    /// Discovery has told a sidecar of an endpoint.
-    Told { sidecar: usize, endpoint: usize, at: f64, in_service: bool },
-    /// What was written at that time broke with its connection, and may not have arrived: it counts as told by the clock.
-    Lost { sidecar: usize, endpoint: usize, at: f64 },
-    /// A process says what went wrong with itself: no result of the test.
-    Trouble { what: String },
 }
 
-/// Prints a record.
+/// Writes a record to standard output.
 pub fn print(record: &Record) {
     if let Ok(line) = serde_json::to_string(record) {
         println!("{line}");
     }
 }
 
-/// Milliseconds of the machine's wall clock, which nothing steps in the stand-ins' processes.
+/// Current wall-clock time (ms since the Unix epoch). Only the sidecars' clocks are stepped, never those of the
+/// stand-ins.
 pub fn now() -> f64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64() * 1e3)
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,8 +1,8 @@
-//! One run: the fleet under the faults of a seed, and what the judge says of it.
+//! Carries out one run: the fleet under the faults of a seed, then the check and the report.
 
-use crate::faults::plan;
+use crate::checker::{check, Rule, Totals, Violation};
+use crate::faults::draw_plan;
 use crate::fleet::Fleet;
-use crate::judge::{judge, Rule, Totals, Violation};
 use crate::records::now;
 use crate::settings::Settings;
 use crate::timeline::Timeline;
@@ -14,98 +14,100 @@
 use std::time::Duration;
 use tokio::task::{spawn_local, LocalSet};
 
-/// Time in which clients ask nothing more before the sidecars' counters are looked at (ms): longer than any request.
-const REST: u64 = 3_000;
-/// Violations of a rule that are printed in full.
-const SHOWN: usize = 3;
-/// How long before a violation a fault may have ended that is named with it (ms).
-const AROUND: f64 = 4_000.0;
-/// Lines of a sidecar's log that are printed for one.
-const LINES: usize = 14;
+/// Time without new requests before the sidecars' counters are read; longer than any request.
+const REST_MS: u64 = 3_000;
+/// Maximum number of violations per rule that are printed in full.
+const MAX_SHOWN_VIOLATIONS: usize = 3;
+/// Time before a violation within which a fault may have ended to be printed with it.
+const FAULT_WINDOW_MS: f64 = 4_000.0;
+/// Maximum number of log lines that are printed for a violation.
+const MAX_LOG_LINES: usize = 14;
 
-/// How runs are to be played.
+/// Options of the runs, from the command line.
 #[derive(Clone, Debug)]
-pub struct How {
-    /// Sidecars.
+pub struct RunOptions {
+    /// Number of sidecars.
     pub sidecars: usize,
-    /// Endpoints.
+    /// Number of endpoints.
     pub endpoints: usize,
-    /// Requests a second at each sidecar.
+    /// Requests per second at each sidecar.
     pub rate: f64,
-    /// Calls that a warm endpoint bears in a second.
+    /// Calls per second that a warm endpoint can serve.
     pub capacity: f64,
-    /// How long clients ask (s).
+    /// Duration of client load (s).
     pub seconds: f64,
-    /// What measuring may be off by (ms).
+    /// Measurement error to allow for (ms).
     pub slack: f64,
-    /// The program.
+    /// Sidecar program under test.
     pub program: PathBuf,
-    /// Where logs go of runs that break a rule.
+    /// Directory for the logs of runs that break a rule.
     pub out: PathBuf,
 }
 
-/// What came of a run.
+/// Result of a run.
 pub struct Report {
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// What was broken.
+    /// Violations, in order of time.
     pub violations: Vec<Violation>,
-    /// All of it in words.
+    /// Report as text.
     pub text: String,
 }
 
-/// Plays one seed.
-pub fn run(seed: u64, how: &How) -> Result<Report, String> {
+/// Carries out the run of one seed.
+pub fn run(seed: u64, options: &RunOptions) -> Result<Report, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
-    let folder = tempfile::tempdir().map_err(|e| format!("a folder: {e}"))?;
-    let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let settings = Settings::draw(&mut random, how.sidecars, how.capacity);
-    let plan = plan(&mut random, how.seconds);
+    let folder = tempfile::tempdir().map_err(|e| format!("temporary folder: {e}"))?;
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
+    let settings = Settings::draw(&mut rng, options.sidecars, options.capacity);
+    let plan = draw_plan(&mut rng, options.seconds);
     let (timeline, records) = LocalSet::new().block_on(&runtime, async {
-        let fleet = Fleet::new(settings, how.endpoints, &how.program, folder.path(), (seed, how.slack))?;
+        let fleet =
+            Fleet::new(settings, options.endpoints, &options.program, folder.path(), (seed, options.slack))?;
         fleet.registry.borrow_mut().indented = seed % 2 == 0;
         fleet.publish().await;
-        (0..how.sidecars).for_each(|number| fleet.keep_list(number));
+        (0..options.sidecars).for_each(|number| fleet.save_list(number));
         fleet.start_all().await?;
-        let began = now();
-        for number in 0..how.sidecars {
-            // Some get several times the mean.
-            let part = if number == 0 { 2.0 } else { 1.0 };
-            fleet.ask(number, |conduct| conduct.rate = how.rate * part).await;
-            fleet.resume(number).await;
+        let started_at = now();
+        for number in 0..options.sidecars {
+            // Load is uneven in practice: some sidecars get several times the mean.
+            let factor = if number == 0 { 2.0 } else { 1.0 };
+            fleet.change_client_behavior(number, |behavior| behavior.rate = options.rate * factor).await;
+            fleet.apply_client_behavior(number).await;
         }
-        let playing: Vec<_> = plan.iter().map(|p| spawn_local(p.play(fleet.clone(), began))).collect();
-        while now() - began < how.seconds * 1e3 {
-            for number in 0..how.sidecars {
-                if !fleet.sidecars[number].busy.get() {
-                    fleet.exited(number, false);
+        let fault_tasks: Vec<_> =
+            plan.iter().map(|fault| spawn_local(fault.inject(fleet.clone(), started_at))).collect();
+        while now() - started_at < options.seconds * 1e3 {
+            for number in 0..options.sidecars {
+                if !fleet.sidecars[number].restarting.get() {
+                    fleet.check_exited(number, false);
                 }
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        for one in playing {
-            let _ = one.await;
+        for task in fault_tasks {
+            let _ = task.await;
         }
-        rest(&fleet, how.sidecars).await;
-        end_all(&fleet, how.sidecars).await;
+        rest_and_read_counters(&fleet, options.sidecars).await;
+        stop_all(&fleet, options.sidecars).await;
         let (timeline, records) = (fleet.timeline.borrow().clone(), fleet.records.borrow().clone());
         Ok::<_, String>((timeline, records))
     })?;
-    let (totals, violations) = judge(&records, &timeline, &settings, how.slack);
+    let (totals, violations) = check(&records, &timeline, &settings, options.slack);
     let text = describe(seed, &settings, &timeline, &totals, &violations, folder.path());
     if !violations.is_empty() {
-        keep(&how.out.join(format!("seed-{seed}")), folder.path(), &text)?;
+        save_logs(&options.out.join(format!("seed-{seed}")), folder.path(), &text)?;
     }
     Ok(Report { seed, violations, text })
 }
 
-/// Lets all clients rest, and reads what the sidecars count then.
-async fn rest(fleet: &std::rc::Rc<Fleet>, sidecars: usize) {
+/// Stops the load of all clients, waits, and reads the sidecars' counters.
+async fn rest_and_read_counters(fleet: &std::rc::Rc<Fleet>, sidecars: usize) {
     for number in 0..sidecars {
-        fleet.ask(number, |conduct| *conduct = Default::default()).await;
+        fleet.change_client_behavior(number, |behavior| *behavior = Default::default()).await;
     }
-    tokio::time::sleep(Duration::from_millis(REST)).await;
+    tokio::time::sleep(Duration::from_millis(REST_MS)).await;
     for number in 0..sidecars {
         let counters = fleet.counters(number).await;
         let counters = counters.into_iter().map(|(name, value)| (number, name, value));
@@ -113,18 +115,19 @@
     }
 }
 
-async fn end_all(fleet: &std::rc::Rc<Fleet>, sidecars: usize) {
-    let ending: Vec<_> = (0..sidecars)
+async fn stop_all(fleet: &std::rc::Rc<Fleet>, sidecars: usize) {
+    let stop_tasks: Vec<_> = (0..sidecars)
         .map(|number| {
             let fleet = fleet.clone();
             spawn_local(async move { fleet.stop(number, &[]).await })
         })
         .collect();
-    for one in ending {
-        let _ = one.await;
+    for task in stop_tasks {
+        let _ = task.await;
     }
 }
 
+/// Writes the report of a run.
 fn describe(
     seed: u64,
     settings: &Settings,
@@ -141,7 +144,7 @@
     line(format!(
         "seed {seed}: {} requests, {served} served, {refused} refused, {failed} failed, {} left; {} attempts; {} faults; {} violations",
         totals.requests,
-        totals.left,
+        totals.clients_left,
         totals.attempts,
         timeline.faults.len(),
         violations.len()
@@ -155,49 +158,53 @@
     for (rule, count) in counts {
         line(format!("  BROKEN {rule:?}: {count} times"));
     }
-    let mut shown: BTreeMap<Rule, usize> = BTreeMap::new();
+    let mut shown_count: BTreeMap<Rule, usize> = BTreeMap::new();
     for violation in violations {
-        let shown = shown.entry(violation.rule).or_default();
-        *shown += 1;
-        if *shown > SHOWN {
+        let shown_count = shown_count.entry(violation.rule).or_default();
+        *shown_count += 1;
+        if *shown_count > MAX_SHOWN_VIOLATIONS {
             continue;
         }
         line(format!("  {violation}"));
-        let crossing =
-            timeline.faults.iter().filter(|f| f.from < violation.at && f.until + AROUND > violation.at);
-        for fault in crossing {
-            let (from, until) = (fault.from - violation.at, fault.until - violation.at);
-            line(format!("      during {} from {from:.0} to {until:.0} ms", fault.what));
+        let overlapping = timeline
+            .faults
+            .iter()
+            .filter(|f| f.started_at < violation.at && f.ended_at + FAULT_WINDOW_MS > violation.at);
+        for fault in overlapping {
+            let (from, until) = (fault.started_at - violation.at, fault.ended_at - violation.at);
+            line(format!("      during {} from {from:.0} to {until:.0} ms", fault.description));
         }
-        for told in story(violation, logs).into_iter().take(LINES) {
-            line(format!("      | {told}"));
+        for log_line in request_log_lines(violation, logs).into_iter().take(MAX_LOG_LINES) {
+            line(format!("      | {log_line}"));
         }
     }
     text
 }
 
-/// What the sidecar's log says of a violation's request.
-fn story(violation: &Violation, logs: &Path) -> Vec<String> {
+/// Collects the lines that the sidecar's log has on a violation's request.
+fn request_log_lines(violation: &Violation, logs: &Path) -> Vec<String> {
     let (Some(sidecar), Some(id)) = (violation.sidecar, &violation.id) else { return Vec::new() };
     let mut found = Vec::new();
     for start in 1.. {
         let Ok(bytes) = std::fs::read(logs.join(format!("sidecar-{sidecar}-{start}.log"))) else { break };
         let log = String::from_utf8_lossy(&bytes);
-        let taken = format!(" taken id={id} ");
-        for line in log.lines().filter(|line| line.contains(&taken)) {
+        let accepted_text = format!(" taken id={id} ");
+        for line in log.lines().filter(|line| line.contains(&accepted_text)) {
             let Some(request) = line.split(' ').find(|word| word.starts_with("request=")) else { continue };
-            let mark = format!(" {request} ");
-            let ends = format!(" {request}");
+            let inner_token = format!(" {request} ");
+            let final_token = format!(" {request}");
             found.extend(
-                log.lines().filter(|l| l.contains(&mark) || l.ends_with(&ends)).map(|l| l.to_owned()),
+                log.lines()
+                    .filter(|l| l.contains(&inner_token) || l.ends_with(&final_token))
+                    .map(|l| l.to_owned()),
             );
         }
     }
     found
 }
 
-/// Keeps the logs of a run.
-fn keep(out: &Path, logs: &Path, text: &str) -> Result<(), String> {
+/// Copies the logs and the configurations of a run to `out`, and writes its report there.
+fn save_logs(out: &Path, logs: &Path, text: &str) -> Result<(), String> {
     std::fs::create_dir_all(out).map_err(|e| format!("{}: {e}", out.display()))?;
     let entries = std::fs::read_dir(logs).map_err(|e| format!("{}: {e}", logs.display()))?;
     for entry in entries.flatten() {
--- a/crates/soak/src/shim.rs
+++ b/crates/soak/src/shim.rs
@@ -1,4 +1,5 @@
-//! The library that fails a sidecar's system calls: built from `shim/faults.c`, steered through a file that it maps.
+//! Builds and controls the library that makes system calls of a sidecar fail. Its source is `shim/faults.c`; it reads
+//! the faults from a control file that it maps into memory.
 
 use std::fs::{File, OpenOptions};
 use std::io;
@@ -6,73 +7,74 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// The library's source.
+/// Source of the library.
 const SOURCE: &str = include_str!("../shim/faults.c");
 
-/// Error numbers of Linux, by their names.
+/// Linux error numbers.
 pub mod errno {
-    /// The medium fails.
+    /// Input/output error.
     pub const EIO: u32 = 5;
     /// Interrupted by a signal.
     pub const EINTR: u32 = 4;
-    /// No memory is left.
+    /// Out of memory.
     pub const ENOMEM: u32 = 12;
-    /// Not permitted.
+    /// Operation not permitted.
     pub const EPERM: u32 = 1;
-    /// The machine is out of descriptors.
+    /// Too many open files in the system.
     pub const ENFILE: u32 = 23;
-    /// The process is out of descriptors.
+    /// Too many open files in the process.
     pub const EMFILE: u32 = 24;
-    /// No space is left.
+    /// No space left on the device.
     pub const ENOSPC: u32 = 28;
-    /// No local address or port is free.
+    /// Cannot assign the requested address: no local port is free.
     pub const EADDRNOTAVAIL: u32 = 99;
-    /// No way leads there.
+    /// Network is unreachable.
     pub const ENETUNREACH: u32 = 101;
-    /// The connection was aborted before it was accepted.
+    /// Connection aborted before it was accepted.
     pub const ECONNABORTED: u32 = 103;
-    /// No buffer is free.
+    /// No buffer space available.
     pub const ENOBUFS: u32 = 105;
-    /// The other side does not answer any more.
+    /// Connection timed out.
     pub const ETIMEDOUT: u32 = 110;
-    /// No way leads to the host any more.
+    /// No route to host.
     pub const EHOSTUNREACH: u32 = 113;
 }
 
-/// A call that fails with an error, so often in a million.
+/// Failure of a system call, at a rate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Fault {
-    /// The error.
+    /// Error number that the call fails with.
     pub error: u32,
-    /// How often.
+    /// Number of failures per million calls.
     pub rate: u32,
 }
 
-/// What fails, in the order of the library's `struct control`.
+/// Faults of one sidecar, in the order of `struct control` in the library.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Accepting.
+    /// Accepting connections.
     pub accept: Fault,
-    /// Making a socket.
+    /// Creating sockets.
     pub socket: Fault,
-    /// Connecting.
+    /// Opening connections.
     pub connect: Fault,
-    /// Reads and writes; waits too where it is EINTR.
+    /// Reads and writes, and also waits if the error is EINTR.
     pub interrupt: Fault,
-    /// Reads and writes take a part; its error has no meaning.
+    /// Reads and writes transfer only a part of the data; the error number is ignored.
     pub shorten: Fault,
     /// Connections that the sidecar opened break.
     pub broken: Fault,
-    /// Opening the configuration.
+    /// Opening the configuration file.
     pub config: Fault,
-    /// Writing to standard error.
+    /// Writing to standard error, which carries the log.
     pub log: Fault,
-    /// Added to the wall clock (ns).
+    /// Offset of the wall clock (ns).
     pub wall_offset_ns: i64,
 }
 
 impl Faults {
-    fn bytes(&self) -> Vec<u8> {
+    /// Encodes the faults as the library reads them.
+    fn encode(&self) -> Vec<u8> {
         let faults = [
             self.accept,
             self.socket,
@@ -89,29 +91,29 @@
     }
 }
 
-/// Builds the library in a folder.
+/// Compiles the library in a folder and returns its path.
 pub fn build(folder: &Path) -> Result<PathBuf, String> {
     let (source, library) = (folder.join("faults.c"), folder.join("faults.so"));
     std::fs::write(&source, SOURCE).map_err(|e| format!("{}: {e}", source.display()))?;
-    let built =
+    let status =
         Command::new("cc").args(["-shared", "-fPIC", "-O2", "-o"]).arg(&library).arg(&source).status();
-    match built {
+    match status {
         Ok(status) if status.success() => Ok(library),
         Ok(status) => Err(format!("cc: {status}")),
         Err(e) => Err(format!("cc: {e}")),
     }
 }
 
-/// One sidecar's control file.
+/// Control file of one sidecar.
 #[derive(Debug)]
 pub struct Control {
-    /// Where it is.
+    /// Path of the file.
     pub path: PathBuf,
     file: File,
 }
 
 impl Control {
-    /// A file with no faults in it.
+    /// Creates a control file without faults.
     pub fn new(path: PathBuf) -> io::Result<Control> {
         let file = OpenOptions::new().write(true).create(true).truncate(true).open(&path)?;
         let control = Control { path, file };
@@ -119,8 +121,8 @@
         Ok(control)
     }
 
-    /// Has these calls fail from now on, and no others.
+    /// Replaces the faults that are in force.
     pub fn set(&self, faults: &Faults) -> io::Result<()> {
-        self.file.write_all_at(&faults.bytes(), 0)
+        self.file.write_all_at(&faults.encode(), 0)
     }
 }
--- a/crates/soak/src/stand_in.rs
+++ b/crates/soak/src/stand_in.rs
@@ -1,4 +1,4 @@
-//! The processes that stand in for what the sidecars speak with.
+//! Child processes that act as the counterparts of the sidecars: endpoints, discovery and clients.
 
 use crate::records::Record;
 use serde::Serialize;
@@ -9,14 +9,15 @@
 use tokio::process::{Child, ChildStdin, Command};
 use tokio::task::spawn_local;
 
-/// A stand-in's process: told on its standard input, heard on its standard output.
+/// Handle of a stand-in process, which receives commands on its standard input and reports records on its standard
+/// output.
 pub struct StandIn {
     input: RefCell<Option<ChildStdin>>,
     child: RefCell<Child>,
 }
 
 impl StandIn {
-    /// Starts this very program in a role; what it tells is added to the records.
+    /// Starts this program under another subcommand; its records are appended to `records`.
     pub fn start(arguments: &[String], records: Rc<RefCell<Vec<Record>>>) -> Result<StandIn, String> {
         let program = std::env::current_exe().map_err(|e| e.to_string())?;
         let mut command = Command::new(program);
@@ -36,18 +37,18 @@
         Ok(StandIn { input, child: RefCell::new(child) })
     }
 
-    /// Tells it how to behave from now on.
-    pub async fn tell(&self, conduct: &impl Serialize) {
-        let Ok(mut line) = serde_json::to_string(conduct) else { return };
+    /// Sends the stand-in its new behavior.
+    pub async fn send(&self, behavior: &impl Serialize) {
+        let Ok(mut line) = serde_json::to_string(behavior) else { return };
         line.push('\n');
-        let taken = self.input.borrow_mut().take();
-        let Some(mut input) = taken else { return };
-        // One that has been killed hears nothing.
+        let input = self.input.borrow_mut().take();
+        let Some(mut input) = input else { return };
+        // A write to a process that has been killed fails; there is nothing to do then.
         let _ = input.write_all(line.as_bytes()).await;
         *self.input.borrow_mut() = Some(input);
     }
 
-    /// Ends it at once: its connections are reset.
+    /// Kills the process, which resets its connections.
     pub fn kill(&self) {
         let _ = self.child.borrow_mut().start_kill();
     }
--- a/crates/soak/src/timeline.rs
+++ b/crates/soak/src/timeline.rs
@@ -1,57 +1,57 @@
-//! What the soak test itself did, and when: what the judge holds the records against. All times in ms.
+//! What the soak test did to the processes, and when. The checker compares the records with it. All times are in ms.
 
-/// An event in the life of a sidecar's process.
+/// Event in the life of a sidecar process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SidecarEvent {
-    /// It was started.
+    /// The process was started.
     Started,
-    /// It said that it was ready.
+    /// Its readiness check succeeded.
     Ready,
-    /// It was sent SIGTERM.
-    Terminated,
-    /// It has exited by itself, with this status.
+    /// SIGTERM was sent.
+    SigtermSent,
+    /// The process exited by itself with this status; `expected` if it had been told to stop.
     Exited { expected: bool, status: String },
-    /// It did not become ready in time.
-    NeverReady,
-    /// It was still there when SIGKILL came.
-    Killed,
-    /// It was sent SIGKILL without a word before.
-    KilledOutright,
+    /// The process was not ready within the start timeout.
+    NotReadyInTime,
+    /// The process was still running when the platform's SIGKILL was due.
+    KilledAfterTimeout,
+    /// SIGKILL was sent without a SIGTERM before it.
+    KilledAbruptly,
 }
 
-/// A change of an endpoint's state.
+/// Change of an endpoint's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointEvent {
-    /// Its process has started, cold.
+    /// Its process was started, cold.
     Started,
-    /// The list says that it drains or is gone.
-    Leaves,
-    /// The list says that it is in service again.
-    Returns,
+    /// The list shows it as draining or gone.
+    LeftService,
+    /// The list shows it in service again.
+    ReturnedToService,
 }
 
-/// A fault that was played.
+/// A fault that was injected.
 #[derive(Clone, Debug)]
-pub struct Played {
-    /// When it began.
-    pub from: f64,
-    /// When it ended.
-    pub until: f64,
-    /// What it was.
-    pub what: String,
+pub struct InjectedFault {
+    /// Time at which it began.
+    pub started_at: f64,
+    /// Time at which it ended.
+    pub ended_at: f64,
+    /// The fault, as the report names it.
+    pub description: String,
 }
 
-/// All of that.
+/// Everything that the soak test did in one run.
 #[derive(Clone, Debug, Default)]
 pub struct Timeline {
-    /// Time, sidecar, event.
+    /// Sidecar events: time, sidecar, event.
     pub sidecars: Vec<(f64, usize, SidecarEvent)>,
-    /// Time, endpoint, event.
+    /// Endpoint events: time, endpoint, event.
     pub endpoints: Vec<(f64, usize, EndpointEvent)>,
-    /// Spans in which discovery could not be reached.
+    /// Start and end of each period in which discovery was unreachable.
     pub discovery_down: Vec<(f64, f64)>,
-    /// The faults.
-    pub faults: Vec<Played>,
-    /// What sidecars said of themselves at the end: sidecar, counter, value.
+    /// Injected faults.
+    pub faults: Vec<InjectedFault>,
+    /// Final counters of the sidecars: sidecar, name, value.
     pub counters: Vec<(usize, String, u64)>,
 }
