--- a/crates/limits/src/hedge.rs
+++ b/crates/limits/src/hedge.rs
@@ -1,140 +1,150 @@
-//! Hedging: a second copy after a time, and an end to it where it feeds a slow fleet.
+//! Hedging: sends a second copy of a request that is slow, and stops doing so where the copies only add load.
 //!
-//! A hedge pays where one server stalls and the others do not ("The Tail at Scale", Dean and Barroso 2013).
-//! Where all are slow every request passes the percentile, every one is sent twice, and the load doubles. What
-//! tells the two apart is whether hedges win: a copy to another server overtakes a stall, and does not
-//! overtake a queue that is as long everywhere.
+//! A hedged request helps where one server stalls and the others do not ("The Tail at Scale", Dean and
+//! Barroso 2013). Where all servers are slow, every request passes the percentile, every request is sent
+//! twice, and the load doubles. The two cases differ in whether hedged requests win: a copy to another server
+//! overtakes a stalled server, but not a queue that is equally long everywhere.
 
-/// Share of hedges that must win, smoothed, for hedging to go on; and to begin again.
-const WINS: (f64, f64) = (0.15, 0.3);
-/// Weight of one hedge in that.
-const GAIN: f64 = 0.05;
-/// While hedging is off, one in so many that are due goes out all the same, to see whether it would win.
-pub const SCOUT: u32 = 20;
-/// Time (ms) in which most of what was learnt of latency is forgotten.
-const FORGET: f64 = 10_000.0;
+/// Hedging stops when the smoothed share of hedged requests that win falls below this.
+const STOP_WIN_RATE: f64 = 0.15;
+/// Hedging resumes when the smoothed share of hedged requests that win rises above this.
+const RESUME_WIN_RATE: f64 = 0.3;
+/// Weight of one hedged request in the smoothed share.
+const WIN_RATE_GAIN: f64 = 0.05;
+/// While hedging is off, one in this many due hedged requests is sent as a trial, to find out whether it
+/// would win.
+pub const TRIAL_INTERVAL: u32 = 20;
+/// A latency estimate that has had no new answer for this long is discarded.
+const MAX_ESTIMATE_AGE_MS: f64 = 10_000.0;
 
-/// When a second copy goes out.
+/// The time after which a hedged request is sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum When {
-    /// After a fixed time (ms).
-    After(f64),
-    /// After the live percentile of the answers of its route, from 0 to 1.
+pub enum HedgeDelay {
+    /// A fixed time (ms).
+    FixedMs(f64),
+    /// The live percentile, from 0 to 1, of the route's latency.
     Percentile(f64),
 }
 
-/// Whether hedges go out.
+/// Whether hedged requests are sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
-    /// They do.
+pub enum HedgingState {
+    /// Every hedged request that is due is sent.
     On,
-    /// They win too rarely; a scout goes out now and then.
+    /// Hedged requests win too rarely: only one in [`TRIAL_INTERVAL`] is sent, as a trial.
     Off,
 }
 
-/// A live percentile without storing answers: it steps up by its share and down by the rest, in steps that
-/// fit the spread (the frugal estimate of Ma, Muthukrishnan and Sandler 2013, with a step that adapts).
+/// A live percentile that stores no answers. The estimate steps up in proportion to the percentile and down
+/// in proportion to the rest, in steps that fit the spread of the latencies (the frugal estimate of Ma,
+/// Muthukrishnan and Sandler 2013, with an adaptive step).
 #[derive(Clone, Debug)]
-pub struct Percentile {
-    share: f64,
-    value: f64,
-    step: f64,
-    seen: u32,
-    last: f64,
+pub struct PercentileEstimate {
+    percentile: f64,
+    value_ms: f64,
+    step_ms: f64,
+    samples: u32,
+    last_sample_ms: f64,
 }
 
-impl Percentile {
-    /// An estimate that has seen nothing.
-    pub fn new(share: f64) -> Percentile {
-        Percentile {
-            share: share.clamp(0.01, 0.999),
-            value: 0.0,
-            step: 0.0,
-            seen: 0,
-            last: f64::NEG_INFINITY,
+impl PercentileEstimate {
+    /// Creates an estimate without samples for a percentile from 0 to 1.
+    pub fn new(percentile: f64) -> PercentileEstimate {
+        PercentileEstimate {
+            percentile: percentile.clamp(0.01, 0.999),
+            value_ms: 0.0,
+            step_ms: 0.0,
+            samples: 0,
+            last_sample_ms: f64::NEG_INFINITY,
         }
     }
 
-    /// An answer took so long (ms).
-    pub fn add(&mut self, now: f64, took: f64) {
-        if now - self.last > FORGET {
-            // Too old to say anything of now.
-            self.seen = 0;
+    /// Records the latency of one answer.
+    pub fn record(&mut self, now_ms: f64, latency_ms: f64) {
+        if now_ms - self.last_sample_ms > MAX_ESTIMATE_AGE_MS {
+            // The estimate is too old to describe the present.
+            self.samples = 0;
         }
-        self.last = now;
-        self.seen = self.seen.saturating_add(1);
-        if self.seen == 1 {
-            (self.value, self.step) = (took, took / 4.0);
+        self.last_sample_ms = now_ms;
+        self.samples = self.samples.saturating_add(1);
+        if self.samples == 1 {
+            (self.value_ms, self.step_ms) = (latency_ms, latency_ms / 4.0);
             return;
         }
-        self.step += ((took - self.value).abs() - self.step) * 0.02;
-        let by = self.step / f64::from(self.seen.min(50)).sqrt();
-        if took > self.value {
-            self.value += by * self.share;
+        self.step_ms += ((latency_ms - self.value_ms).abs() - self.step_ms) * 0.02;
+        let by = self.step_ms / f64::from(self.samples.min(50)).sqrt();
+        if latency_ms > self.value_ms {
+            self.value_ms += by * self.percentile;
         } else {
-            self.value -= by * (1.0 - self.share);
+            self.value_ms -= by * (1.0 - self.percentile);
         }
-        self.value = self.value.max(0.0);
+        self.value_ms = self.value_ms.max(0.0);
     }
 
-    /// The estimate (ms), once it rests on twenty answers.
-    pub fn value(&self) -> Option<f64> {
-        (self.seen >= 20).then_some(self.value)
+    /// Returns the estimate (ms), or `None` before it has twenty samples.
+    pub fn value_ms(&self) -> Option<f64> {
+        (self.samples >= 20).then_some(self.value_ms)
     }
 }
 
-/// Hedging of one route.
+/// The hedging state of one route.
 #[derive(Clone, Debug)]
 pub struct Hedging {
-    when: When,
-    latency: Percentile,
-    state: State,
-    wins: f64,
-    due: u32,
+    delay: HedgeDelay,
+    latency: PercentileEstimate,
+    state: HedgingState,
+    win_rate: f64,
+    due_count: u32,
 }
 
 impl Hedging {
-    /// Hedging that begins switched on.
-    pub fn new(when: When) -> Hedging {
-        let share = match when {
-            When::After(_) => 0.95,
-            When::Percentile(share) => share,
+    /// Creates the state with hedging switched on.
+    pub fn new(delay: HedgeDelay) -> Hedging {
+        let percentile = match delay {
+            HedgeDelay::FixedMs(_) => 0.95,
+            HedgeDelay::Percentile(percentile) => percentile,
         };
-        Hedging { when, latency: Percentile::new(share), state: State::On, wins: WINS.1, due: 0 }
+        Hedging {
+            delay,
+            latency: PercentileEstimate::new(percentile),
+            state: HedgingState::On,
+            win_rate: RESUME_WIN_RATE,
+            due_count: 0,
+        }
     }
 
-    /// Whether hedges go out.
-    pub fn state(&self) -> State {
+    /// Returns whether hedged requests are sent.
+    pub fn state(&self) -> HedgingState {
         self.state
     }
 
-    /// After how long (ms) a second copy of a request would go out; `None` while nothing is known.
-    pub fn after(&self) -> Option<f64> {
-        match self.when {
-            When::After(time) => Some(time),
-            When::Percentile(_) => self.latency.value(),
+    /// Returns the time (ms) after which a hedged request is due, or `None` while the latency is unknown.
+    pub fn delay_ms(&self) -> Option<f64> {
+        match self.delay {
+            HedgeDelay::FixedMs(time) => Some(time),
+            HedgeDelay::Percentile(_) => self.latency.value_ms(),
         }
     }
 
-    /// A first copy was answered after so long (ms).
-    pub fn answered(&mut self, now: f64, took: f64) {
-        self.latency.add(now, took);
+    /// Records the latency of an answer to a first copy.
+    pub fn record_answer(&mut self, now_ms: f64, latency_ms: f64) {
+        self.latency.record(now_ms, latency_ms);
     }
 
-    /// A second copy is due: whether it may go out.
-    pub fn may_go(&mut self) -> bool {
-        self.due = self.due.wrapping_add(1);
-        self.state == State::On || self.due % SCOUT == 0
+    /// Returns whether a hedged request that is due may be sent.
+    pub fn allow_hedge(&mut self) -> bool {
+        self.due_count = self.due_count.wrapping_add(1);
+        self.state == HedgingState::On || self.due_count % TRIAL_INTERVAL == 0
     }
 
-    /// A second copy has ended, as the one that answered or not.
-    pub fn ended(&mut self, won: bool) {
-        // Scouts are few: each weighs more, or the way back would take minutes.
-        let gain = if self.state == State::On { GAIN } else { GAIN * 4.0 };
-        self.wins += (f64::from(u8::from(won)) - self.wins) * gain;
+    /// Records the end of a hedged request; `won` if its answer came first.
+    pub fn record_result(&mut self, won: bool) {
+        // Trials are few, so each weighs more; otherwise resuming would take minutes.
+        let gain = if self.state == HedgingState::On { WIN_RATE_GAIN } else { WIN_RATE_GAIN * 4.0 };
+        self.win_rate += (f64::from(u8::from(won)) - self.win_rate) * gain;
         self.state = match self.state {
-            State::On if self.wins < WINS.0 => State::Off,
-            State::Off if self.wins > WINS.1 => State::On,
+            HedgingState::On if self.win_rate < STOP_WIN_RATE => HedgingState::Off,
+            HedgingState::Off if self.win_rate > RESUME_WIN_RATE => HedgingState::On,
             same => same,
         };
     }
--- a/crates/limits/src/route.rs
+++ b/crates/limits/src/route.rs
@@ -1,77 +1,80 @@
-//! Routes: which of them a request takes. The first that fits wins.
+//! Route selection: a request takes the first route that it matches.
 
 use std::cmp::Ordering;
 use std::collections::HashMap;
 
-/// What a route wants of a request; what it leaves open fits all.
+/// The criteria of a route. A request must meet all that are set; an unset criterion accepts any request.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Match {
-    /// The request's class.
+pub struct RouteMatch {
+    /// The request class.
     pub class: Option<String>,
-    /// What its path begins with, by whole parts: `/quote` fits `/quote/a` and not `/quotes`.
+    /// Prefix of the path, in whole segments: `/quote` matches `/quote/a` but not `/quotes`.
     pub path_prefix: Option<String>,
-    /// Its host, without port, in lower case.
+    /// The host in lower case, without a port.
     pub host: Option<String>,
-    /// Its tenant.
+    /// The tenant.
     pub tenant: Option<String>,
-    /// Whether its client marked it as a retry.
+    /// Whether the client marked the request as a retry.
     pub client_retry: Option<bool>,
 }
 
-/// A request as routes see it.
+/// The attributes of a request that routes are matched against.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Asked<'a> {
-    /// Its class.
+pub struct RequestAttributes<'a> {
+    /// The request class.
     pub class: &'a str,
-    /// Its path, without the query.
+    /// The path without the query.
     pub path: &'a str,
-    /// Its host, with or without a port.
+    /// The host, with or without a port.
     pub host: &'a str,
-    /// Its tenant.
+    /// The tenant.
     pub tenant: &'a str,
-    /// Whether its client marked it as a retry.
+    /// Whether the client marked the request as a retry.
     pub client_retry: bool,
 }
 
 /// How the sets of requests that two matches accept relate to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Overlap {
-    /// No request fits both.
+    /// No request matches both.
     Disjoint,
-    /// All that fit the second fit the first.
+    /// Every request that matches the second also matches the first.
     Covers,
-    /// All that fit the first fit the second, and some more.
+    /// Every request that matches the first also matches the second, which matches others too.
     Within,
-    /// Some requests fit both, and each has some of its own.
+    /// Some requests match both, and each also matches some that the other does not.
     Partial,
 }
 
-fn begins(path: &str, prefix: &str) -> bool {
+fn has_path_prefix(path: &str, prefix: &str) -> bool {
     let rest = path.strip_prefix(prefix.trim_end_matches('/'));
     rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
 }
 
 fn without_port(host: &str) -> &str {
-    // An IPv6 address in brackets has colons of its own.
+    // An IPv6 address in brackets contains colons.
     let end = host.rfind(']').map_or(0, |at| at + 1);
     host[end..].find(':').map_or(host, |colon| &host[..end + colon])
 }
 
-impl Match {
-    /// Whether a request fits.
-    pub fn fits(&self, asked: &Asked) -> bool {
-        let equal = |want: &Option<String>, have: &str| want.as_deref().is_none_or(|w| w == have);
-        equal(&self.class, asked.class)
-            && equal(&self.tenant, asked.tenant)
-            && self.client_retry.is_none_or(|want| want == asked.client_retry)
-            && self.path_prefix.as_deref().is_none_or(|prefix| begins(asked.path, prefix))
-            && self.host.as_deref().is_none_or(|host| host.eq_ignore_ascii_case(without_port(asked.host)))
+impl RouteMatch {
+    /// Returns whether a request meets all criteria.
+    pub fn accepts(&self, request: &RequestAttributes) -> bool {
+        let equal =
+            |wanted: &Option<String>, actual: &str| wanted.as_deref().is_none_or(|wanted| wanted == actual);
+        equal(&self.class, request.class)
+            && equal(&self.tenant, request.tenant)
+            && self.client_retry.is_none_or(|wanted| wanted == request.client_retry)
+            && self.path_prefix.as_deref().is_none_or(|prefix| has_path_prefix(request.path, prefix))
+            && self.host.as_deref().is_none_or(|host| host.eq_ignore_ascii_case(without_port(request.host)))
     }
 
-    /// How the requests that this match accepts relate to those of another, compared field by field.
-    pub fn overlap_with(&self, other: &Match) -> Overlap {
-        /// What is open is wider than anything named; `None`: no request fits both.
-        fn field<T>(a: &Option<T>, b: &Option<T>, wider: impl Fn(&T, &T) -> bool) -> Option<Ordering> {
+    /// Returns how the requests that this match accepts relate to those of `other`, compared
+    /// field by field.
+    pub fn overlap_with(&self, other: &RouteMatch) -> Overlap {
+        /// Compares one criterion: `Greater` if `a` accepts more. An unset criterion accepts more than any
+        /// value. `None` if no request meets both.
+        fn compare<T>(a: &Option<T>, b: &Option<T>, wider: impl Fn(&T, &T) -> bool) -> Option<Ordering> {
             match (a, b) {
                 (None, None) => Some(Ordering::Equal),
                 (None, Some(_)) => Some(Ordering::Greater),
@@ -85,14 +88,14 @@
             }
         }
         let fields = [
-            field(&self.class, &other.class, |a, b| a == b),
-            field(&self.tenant, &other.tenant, |a, b| a == b),
-            field(&self.host, &other.host, |a, b| a.eq_ignore_ascii_case(b)),
-            field(&self.path_prefix, &other.path_prefix, |a, b| begins(b, a)),
-            field(&self.client_retry, &other.client_retry, |a, b| a == b),
+            compare(&self.class, &other.class, |a, b| a == b),
+            compare(&self.tenant, &other.tenant, |a, b| a == b),
+            compare(&self.host, &other.host, |a, b| a.eq_ignore_ascii_case(b)),
+            compare(&self.path_prefix, &other.path_prefix, |a, b| has_path_prefix(b, a)),
+            compare(&self.client_retry, &other.client_retry, |a, b| a == b),
         ];
-        let none = |order| !fields.contains(&Some(order));
-        match (fields.contains(&None), none(Ordering::Less), none(Ordering::Greater)) {
+        let no_field_is = |order| !fields.contains(&Some(order));
+        match (fields.contains(&None), no_field_is(Ordering::Less), no_field_is(Ordering::Greater)) {
             (true, ..) => Overlap::Disjoint,
             (_, true, _) => Overlap::Covers,
             (_, _, true) => Overlap::Within,
@@ -101,48 +104,49 @@
     }
 }
 
-/// Routes in order, with what finds the first that fits.
+/// The routes in order, with an index by class to find the first that a request matches.
 #[derive(Clone, Debug, Default)]
-pub struct Table {
-    matches: Vec<Match>,
-    /// By class: the routes that name it or none, in order.
+pub struct RouteTable {
+    matches: Vec<RouteMatch>,
+    /// For each class that a route names: the routes that accept the class, in order.
     by_class: HashMap<String, Vec<usize>>,
-    /// Routes that name no class, in order: for classes that none names.
-    open: Vec<usize>,
+    /// Routes without a class, in order; used for classes that no route names.
+    without_class: Vec<usize>,
 }
 
-impl Table {
-    /// A table of these routes.
-    pub fn new(matches: Vec<Match>) -> Table {
-        let open: Vec<usize> = (0..matches.len()).filter(|n| matches[*n].class.is_none()).collect();
+impl RouteTable {
+    /// Builds the table for routes in this order.
+    pub fn new(matches: Vec<RouteMatch>) -> RouteTable {
+        let without_class: Vec<usize> =
+            (0..matches.len()).filter(|index| matches[*index].class.is_none()).collect();
         let mut by_class: HashMap<String, Vec<usize>> = HashMap::new();
         for class in matches.iter().filter_map(|m| m.class.as_ref()) {
             if !by_class.contains_key(class) {
-                let fit = |n: &usize| matches[*n].class.as_ref().is_none_or(|c| c == class);
-                by_class.insert(class.clone(), (0..matches.len()).filter(fit).collect());
+                let accepts_class = |index: &usize| matches[*index].class.as_ref().is_none_or(|c| c == class);
+                by_class.insert(class.clone(), (0..matches.len()).filter(accepts_class).collect());
             }
         }
-        Table { matches, by_class, open }
+        RouteTable { matches, by_class, without_class }
     }
 
-    /// The first route that a request fits.
-    pub fn find(&self, asked: &Asked) -> Option<usize> {
-        let some = self.by_class.get(asked.class).unwrap_or(&self.open);
-        some.iter().copied().find(|n| self.matches[*n].fits(asked))
+    /// Returns the index of the first route that a request matches.
+    pub fn find(&self, request: &RequestAttributes) -> Option<usize> {
+        let candidates = self.by_class.get(request.class).unwrap_or(&self.without_class);
+        candidates.iter().copied().find(|index| self.matches[*index].accepts(request))
     }
 
-    /// Pairs of routes, the earlier first, of which the later can never be taken, or whose order alone decides
-    /// over requests that fit both.
+    /// Returns pairs of routes, the earlier one first, where the later one can never be taken or where only
+    /// the order decides which route takes the requests that match both.
     pub fn conflicts(&self) -> Vec<(usize, usize, Overlap)> {
-        let mut found = Vec::new();
+        let mut conflicts = Vec::new();
         for later in 0..self.matches.len() {
             for earlier in 0..later {
                 let overlap = self.matches[earlier].overlap_with(&self.matches[later]);
                 if matches!(overlap, Overlap::Covers | Overlap::Partial) {
-                    found.push((earlier, later, overlap));
+                    conflicts.push((earlier, later, overlap));
                 }
             }
         }
-        found
+        conflicts
     }
 }
--- a/crates/limits/src/rules.rs
+++ b/crates/limits/src/rules.rs
@@ -1,213 +1,220 @@
-//! The limits of a route, and the platform's rules that none of them may break.
+//! The limits of a route, and their validation against the platform's rules.
 
-use crate::budget::Terms;
-use crate::hedge::When;
-use crate::route::{Match, Overlap, Table};
+use crate::budget::BudgetConfig;
+use crate::hedge::HedgeDelay;
+use crate::route::{Overlap, RouteMatch, RouteTable};
 use std::fmt;
 
-/// Longest window of a budget (ms): a longer one would remember what is over.
-const LONGEST_WINDOW: f64 = 60_000.0;
+/// Longest window of a retry budget (ms): a longer one would count traffic that no longer matters.
+const MAX_WINDOW_MS: f64 = 60_000.0;
 
-/// What may be tried again, by how an attempt ended.
+/// The ends of an attempt after which a retry may be allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RetryOn {
-    /// It never came up.
+    /// No connection could be opened.
     Unreachable,
-    /// It was turned away unseen.
+    /// The server rejected the request without running it.
     Rejected,
     /// The server answered with an error.
     Error,
-    /// It broke after its last byte.
+    /// The connection broke after the whole request had been sent.
     Reset,
-    /// It ran out of its own time.
+    /// The attempt timed out.
     TimedOut,
 }
 
 impl RetryOn {
-    /// Whether the attempt may have run.
+    /// Returns whether the server may have run the request.
     pub fn may_have_run(self) -> bool {
         matches!(self, RetryOn::Error | RetryOn::Reset | RetryOn::TimedOut)
     }
 }
 
-/// What a route allows; what it leaves open is the platform's.
+/// The limits of a route; for an unset limit the platform's value holds.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Limits {
-    /// Time in all (ms).
-    pub timeout: Option<f64>,
-    /// Time of one attempt (ms).
-    pub attempt_timeout: Option<f64>,
-    /// Attempts, the first included.
-    pub attempts: Option<u32>,
-    /// A second copy.
-    pub hedge: Option<When>,
-    /// What may be tried again.
+pub struct RouteLimits {
+    /// Time-out of a request over all its attempts (ms).
+    pub timeout_ms: Option<f64>,
+    /// Time-out of one attempt (ms).
+    pub attempt_timeout_ms: Option<f64>,
+    /// Maximum number of attempts, the first included.
+    pub max_attempts: Option<u32>,
+    /// When a hedged request is sent.
+    pub hedge: Option<HedgeDelay>,
+    /// The ends of an attempt after which a retry is allowed.
     pub retry_on: Option<Vec<RetryOn>>,
-    /// What retries may add.
-    pub budget: Option<Terms>,
-    /// Forwards at a time.
+    /// The retry budget.
+    pub budget: Option<BudgetConfig>,
+    /// Maximum number of concurrent forwards.
     pub max_concurrent: Option<u32>,
-    /// Flows that wait for that.
+    /// Maximum number of flows that wait for a forward.
     pub max_waiting: Option<u32>,
 }
 
-/// A route of the operator's file.
+/// A route of the operator's limits file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: String,
-    /// What it fits.
-    pub wants: Match,
-    /// What it allows.
-    pub limits: Limits,
+    /// The requests that take the route.
+    pub request_match: RouteMatch,
+    /// The limits for those requests.
+    pub limits: RouteLimits,
 }
 
-/// A class as the platform's settings have it.
+/// A request class of the platform's settings.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ClassFacts {
-    /// Its name.
+pub struct ClassRules {
+    /// Name of the class.
     pub name: String,
-    /// How long a client waits in all (ms).
-    pub deadline: f64,
-    /// Whether it must never run twice.
-    pub runs_once: bool,
+    /// How long a client waits for the answer, over all attempts (ms).
+    pub deadline_ms: f64,
+    /// Whether a request of this class must never run twice.
+    pub at_most_once: bool,
 }
 
-/// What the platform's settings allow.
+/// The rules that the platform's settings set for all routes.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Platform {
-    /// Its classes.
-    pub classes: Vec<ClassFacts>,
-    /// Its tenants; empty where the settings name none, and then any name is taken.
+pub struct PlatformRules {
+    /// The request classes.
+    pub classes: Vec<ClassRules>,
+    /// The tenants. Empty if the settings name none; any name is then accepted.
     pub tenants: Vec<String>,
-    /// Attempts of one request.
+    /// Maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// Whether a second copy may be out.
+    /// Whether hedged requests are allowed.
     pub second_copies: bool,
 }
 
-/// Something that can't be: where, and why.
+/// A route or limit that the platform's rules forbid.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fault {
-    /// The route's name.
+pub struct RuleViolation {
+    /// Name of the route.
     pub route: String,
-    /// The key.
+    /// Key of the limit in the limits file.
     pub key: &'static str,
-    /// The reason, plain.
-    pub why: String,
+    /// Why it is forbidden, for the operator.
+    pub reason: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for RuleViolation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "route {}: {}: {}", self.route, self.key, self.why)
+        write!(f, "route {}: {}: {}", self.route, self.key, self.reason)
     }
 }
 
-/// Every fault of these routes under the platform's rules, all in one go.
-pub fn faults(routes: &[Route], platform: &Platform) -> Vec<Fault> {
-    let mut all = Vec::new();
+/// Validates routes against the platform's rules and returns all violations at once.
+pub fn validate(routes: &[Route], platform: &PlatformRules) -> Vec<RuleViolation> {
+    let mut violations = Vec::new();
     for (number, route) in routes.iter().enumerate() {
         if routes[..number].iter().any(|r| r.name == route.name) {
-            all.push(Fault {
+            violations.push(RuleViolation {
                 route: route.name.clone(),
                 key: "name",
-                why: "another route has it too".into(),
+                reason: "another route has it too".into(),
             });
         }
-        faults_of(route, platform, &mut all);
+        validate_route(route, platform, &mut violations);
     }
-    for (earlier, later, overlap) in Table::new(routes.iter().map(|r| r.wants.clone()).collect()).conflicts()
+    for (earlier, later, overlap) in
+        RouteTable::new(routes.iter().map(|r| r.request_match.clone()).collect()).conflicts()
     {
         let (first, second) = (&routes[earlier].name, &routes[later]);
-        let why = match overlap {
+        let reason = match overlap {
             Overlap::Covers => {
                 format!("it can never be taken: all that fits it is taken by {first} before it")
             }
             _ => format!("some requests fit it and {first} too; put a route for just those in front of both"),
         };
-        all.push(Fault { route: second.name.clone(), key: "match", why });
+        violations.push(RuleViolation { route: second.name.clone(), key: "match", reason });
     }
-    all
+    violations
 }
 
-fn faults_of(route: &Route, platform: &Platform, all: &mut Vec<Fault>) {
-    let (wants, limits) = (&route.wants, &route.limits);
-    let mut fault = |key: &'static str, why: String| all.push(Fault { route: route.name.clone(), key, why });
-    // The classes that the route can meet: its own, or all.
-    let met: Vec<&ClassFacts> =
-        platform.classes.iter().filter(|c| wants.class.as_ref().is_none_or(|w| *w == c.name)).collect();
-    if let Some(class) = wants.class.as_ref().filter(|_| met.is_empty()) {
+fn validate_route(route: &Route, platform: &PlatformRules, violations: &mut Vec<RuleViolation>) {
+    let (request_match, limits) = (&route.request_match, &route.limits);
+    let mut violation = |key: &'static str, reason: String| {
+        violations.push(RuleViolation { route: route.name.clone(), key, reason });
+    };
+    // The classes whose requests can take the route: the one it names, or all.
+    let classes: Vec<&ClassRules> = platform
+        .classes
+        .iter()
+        .filter(|c| request_match.class.as_ref().is_none_or(|wanted| *wanted == c.name))
+        .collect();
+    if let Some(class) = request_match.class.as_ref().filter(|_| classes.is_empty()) {
         let known: Vec<&str> = platform.classes.iter().map(|c| c.name.as_str()).collect();
-        fault("class", format!("{class} is no class of the platform; those are {}", known.join(", ")));
+        violation("class", format!("{class} is no class of the platform; those are {}", known.join(", ")));
     }
-    if let Some(tenant) = wants.tenant.as_ref() {
+    if let Some(tenant) = request_match.tenant.as_ref() {
         if !platform.tenants.is_empty() && !platform.tenants.contains(tenant) {
-            fault("tenant", format!("{tenant} is no tenant; those are {}", platform.tenants.join(", ")));
+            violation("tenant", format!("{tenant} is no tenant; those are {}", platform.tenants.join(", ")));
         }
     }
-    let times = [("timeout_ms", limits.timeout), ("attempt_timeout_ms", limits.attempt_timeout)];
+    let times = [("timeout_ms", limits.timeout_ms), ("attempt_timeout_ms", limits.attempt_timeout_ms)];
     for (key, time) in times.into_iter().filter_map(|(key, time)| Some((key, time?))) {
         if !time.is_finite() || time <= 0.0 {
-            fault(key, format!("{time} is no time above 0"));
+            violation(key, format!("{time} is no time above 0"));
             continue;
         }
-        for class in met.iter().filter(|c| time > c.deadline) {
-            fault(
+        for class in classes.iter().filter(|c| time > c.deadline_ms) {
+            violation(
                 key,
-                format!("{time} is beyond the deadline of {}, which is {}", class.name, class.deadline),
+                format!("{time} is beyond the deadline of {}, which is {}", class.name, class.deadline_ms),
             );
         }
     }
-    if let (Some(whole), Some(one)) = (limits.timeout, limits.attempt_timeout) {
-        if one > whole {
-            fault("attempt_timeout_ms", format!("{one} is more than timeout_ms, which is {whole}"));
+    if let (Some(total), Some(attempt)) = (limits.timeout_ms, limits.attempt_timeout_ms) {
+        if attempt > total {
+            violation("attempt_timeout_ms", format!("{attempt} is more than timeout_ms, which is {total}"));
         }
     }
-    match limits.attempts {
-        Some(0) => fault("attempts", "0 would send nothing".into()),
+    match limits.max_attempts {
+        Some(0) => violation("attempts", "0 would send nothing".into()),
         Some(n) if n > platform.max_attempts => {
-            fault(
+            violation(
                 "attempts",
                 format!("{n} is more than the platform allows, which is {}", platform.max_attempts),
             );
         }
         _ => {}
     }
-    let once: Vec<&str> = met.iter().filter(|c| c.runs_once).map(|c| c.name.as_str()).collect();
+    let at_most_once: Vec<&str> =
+        classes.iter().filter(|c| c.at_most_once).map(|c| c.name.as_str()).collect();
     if let Some(hedge) = limits.hedge {
         if !platform.second_copies {
-            fault("hedge", "the platform allows no second copy".into());
+            violation("hedge", "the platform allows no second copy".into());
         }
-        for class in &once {
-            fault("hedge", format!("{class} must never run twice, and a second copy would let it"));
+        for class in &at_most_once {
+            violation("hedge", format!("{class} must never run twice, and a second copy would let it"));
         }
         match hedge {
-            When::After(time) if !time.is_finite() || time <= 0.0 => {
-                fault("hedge.after_ms", format!("{time} is no time above 0"));
+            HedgeDelay::FixedMs(time) if !time.is_finite() || time <= 0.0 => {
+                violation("hedge.after_ms", format!("{time} is no time above 0"));
             }
-            When::Percentile(share) if !(0.5..1.0).contains(&share) => {
-                fault("hedge.percentile", format!("{share} is not from 0.5 to under 1"));
+            HedgeDelay::Percentile(percentile) if !(0.5..1.0).contains(&percentile) => {
+                violation("hedge.percentile", format!("{percentile} is not from 0.5 to under 1"));
             }
             _ => {}
         }
     }
     for on in limits.retry_on.iter().flatten().filter(|on| on.may_have_run()) {
-        for class in &once {
-            fault("retry_on", format!("{class} must never run twice, and after {on:?} it may have run"));
+        for class in &at_most_once {
+            violation("retry_on", format!("{class} must never run twice, and after {on:?} it may have run"));
         }
     }
     if let Some(budget) = limits.budget {
         if !(0.0..=1.0).contains(&budget.share) {
-            fault("budget.share", format!("{} is not from 0 to 1", budget.share));
+            violation("budget.share", format!("{} is not from 0 to 1", budget.share));
         }
-        if !(0.0..=1e6).contains(&budget.floor) {
-            fault("budget.floor_per_s", format!("{} is not from 0 to a million", budget.floor));
+        if !(0.0..=1e6).contains(&budget.floor_per_s) {
+            violation("budget.floor_per_s", format!("{} is not from 0 to a million", budget.floor_per_s));
         }
-        if !(100.0..=LONGEST_WINDOW).contains(&budget.window) {
-            fault("budget.window_ms", format!("{} is not from 100 to {LONGEST_WINDOW}", budget.window));
+        if !(100.0..=MAX_WINDOW_MS).contains(&budget.window_ms) {
+            violation("budget.window_ms", format!("{} is not from 100 to {MAX_WINDOW_MS}", budget.window_ms));
         }
     }
     if limits.max_concurrent == Some(0) {
-        fault("max_concurrent", "0 would let nothing through".into());
+        violation("max_concurrent", "0 would let nothing through".into());
     }
 }
--- a/crates/limits/tests/hedge.rs
+++ b/crates/limits/tests/hedge.rs
@@ -1,41 +1,41 @@
-//! When a second copy is sent, and when hedging stops.
+//! The delay of hedged requests, and when hedging stops and resumes.
 
-use roseproxy_limits::hedge::{Hedging, Percentile, State, When, SCOUT};
+use roseproxy_limits::hedge::{HedgeDelay, Hedging, HedgingState, PercentileEstimate, TRIAL_INTERVAL};
 
 #[test]
-fn a_live_percentile_follows_the_answers() {
-    let mut p95 = Percentile::new(0.95);
-    assert_eq!(p95.value(), None);
-    // Evenly from 0 to 100 ms, in an order without pattern.
-    let took = |n: u32| f64::from(n.wrapping_mul(2_654_435_761) >> 8) / f64::from(1_u32 << 24) * 100.0;
-    (0..4_000).for_each(|n| p95.add(f64::from(n), took(n)));
-    let calm = p95.value().expect("known");
+fn a_live_percentile_follows_the_latency() {
+    let mut p95 = PercentileEstimate::new(0.95);
+    assert_eq!(p95.value_ms(), None);
+    // Evenly distributed from 0 to 100 ms, in scrambled order.
+    let latency = |n: u32| f64::from(n.wrapping_mul(2_654_435_761) >> 8) / f64::from(1_u32 << 24) * 100.0;
+    (0..4_000).for_each(|n| p95.record(f64::from(n), latency(n)));
+    let calm = p95.value_ms().expect("known");
     assert!((85.0..100.0).contains(&calm), "{calm}");
-    (4_000..8_000).for_each(|n| p95.add(f64::from(n), 3.0 * took(n)));
-    let slow = p95.value().expect("known");
+    (4_000..8_000).for_each(|n| p95.record(f64::from(n), 3.0 * latency(n)));
+    let slow = p95.value_ms().expect("known");
     assert!((240.0..300.0).contains(&slow), "{slow}");
-    p95.add(100_000.0, 1.0);
-    assert_eq!(p95.value(), None, "what was known is too old");
+    p95.record(100_000.0, 1.0);
+    assert_eq!(p95.value_ms(), None, "the estimate is too old");
 }
 
 #[test]
-fn hedges_that_win_go_on_and_those_that_do_not_stop_and_come_back() {
-    let mut hedging = Hedging::new(When::After(50.0));
-    assert_eq!(hedging.after(), Some(50.0));
-    (0..200).for_each(|n| hedging.ended(n % 2 == 0));
-    assert_eq!(hedging.state(), State::On);
-    // The whole fleet is slow: hardly one wins.
+fn hedging_stops_when_hedged_requests_rarely_win_and_resumes_when_they_win() {
+    let mut hedging = Hedging::new(HedgeDelay::FixedMs(50.0));
+    assert_eq!(hedging.delay_ms(), Some(50.0));
+    (0..200).for_each(|n| hedging.record_result(n % 2 == 0));
+    assert_eq!(hedging.state(), HedgingState::On);
+    // The whole fleet is slow: no hedged request wins.
     let until_off = (0..200).take_while(|_| {
-        hedging.ended(false);
-        hedging.state() == State::On
+        hedging.record_result(false);
+        hedging.state() == HedgingState::On
     });
     assert!(until_off.count() < 40);
-    let out = (0..1_000).filter(|_| hedging.may_go()).count();
-    assert_eq!(out, 1_000 / SCOUT as usize, "only scouts");
-    // The fleet is well again but for one server: scouts win, and hedging is back by itself.
+    let sent = (0..1_000).filter(|_| hedging.allow_hedge()).count();
+    assert_eq!(sent, 1_000 / TRIAL_INTERVAL as usize, "only trials");
+    // Only one server is still slow: half of the trials win, and hedging resumes.
     let until_on = (0..100).take_while(|n| {
-        hedging.ended(n % 2 == 0);
-        hedging.state() == State::Off
+        hedging.record_result(n % 2 == 0);
+        hedging.state() == HedgingState::Off
     });
     assert!(until_on.count() < 20);
 }
--- a/crates/limits/tests/route.rs
+++ b/crates/limits/tests/route.rs
@@ -1,39 +1,51 @@
-//! Which route a request takes, and how two routes relate.
+//! Route selection, and how two routes overlap.
 
 use proptest::prelude::*;
-use roseproxy_limits::route::{Asked, Match, Overlap, Table};
+use roseproxy_limits::route::{Overlap, RequestAttributes, RouteMatch, RouteTable};
 
-fn of(class: &str, prefix: &str, tenant: &str) -> Match {
-    let some = |t: &str| (!t.is_empty()).then(|| t.to_owned());
-    Match { class: some(class), path_prefix: some(prefix), tenant: some(tenant), ..Match::default() }
+fn route_match(class: &str, prefix: &str, tenant: &str) -> RouteMatch {
+    let some = |text: &str| (!text.is_empty()).then(|| text.to_owned());
+    RouteMatch {
+        class: some(class),
+        path_prefix: some(prefix),
+        tenant: some(tenant),
+        ..RouteMatch::default()
+    }
 }
 
 #[test]
-fn the_first_route_that_fits_wins() {
-    let table = Table::new(vec![of("quote", "/quote/fast", ""), of("quote", "", ""), of("", "", "east")]);
-    let asked = |class, path, tenant| Asked { class, path, tenant, ..Asked::default() };
-    assert_eq!(table.find(&asked("quote", "/quote/fast/7", "east")), Some(0));
-    assert_eq!(table.find(&asked("quote", "/quote/faster", "east")), Some(1));
-    assert_eq!(table.find(&asked("place-order", "/place-order", "east")), Some(2));
-    assert_eq!(table.find(&asked("place-order", "/place-order", "west")), None);
+fn the_first_matching_route_wins() {
+    let table = RouteTable::new(vec![
+        route_match("quote", "/quote/fast", ""),
+        route_match("quote", "", ""),
+        route_match("", "", "east"),
+    ]);
+    let request =
+        |class, path, tenant| RequestAttributes { class, path, tenant, ..RequestAttributes::default() };
+    assert_eq!(table.find(&request("quote", "/quote/fast/7", "east")), Some(0));
+    assert_eq!(table.find(&request("quote", "/quote/faster", "east")), Some(1));
+    assert_eq!(table.find(&request("place-order", "/place-order", "east")), Some(2));
+    assert_eq!(table.find(&request("place-order", "/place-order", "west")), None);
 }
 
 #[test]
-fn hosts_fit_without_their_port_and_in_any_case() {
-    let host = |h: &str| Match { host: Some(h.into()), ..Match::default() };
-    let fits = |h: &str, asked: &str| host(h).fits(&Asked { host: asked, ..Asked::default() });
-    assert!(fits("quote.example.org", "Quote.Example.org:8080"));
-    assert!(fits("[::1]", "[::1]:80") && !fits("[::1]", "[::2]"));
-    assert!(!fits("quote.example.org", "orders.example.org"));
+fn hosts_match_without_port_and_in_any_case() {
+    let host_match = |host: &str| RouteMatch { host: Some(host.into()), ..RouteMatch::default() };
+    let accepts = |wanted: &str, host: &str| {
+        host_match(wanted).accepts(&RequestAttributes { host, ..RequestAttributes::default() })
+    };
+    assert!(accepts("quote.example.org", "Quote.Example.org:8080"));
+    assert!(accepts("[::1]", "[::1]:80") && !accepts("[::1]", "[::2]"));
+    assert!(!accepts("quote.example.org", "orders.example.org"));
 }
 
 #[test]
-fn routes_that_cannot_be_taken_or_that_cross_are_found() {
-    let table = Table::new(vec![
-        of("quote", "", ""),
-        of("quote", "/a", ""),
-        of("", "", "east"),
-        of("place-order", "", ""),
+fn unreachable_and_overlapping_routes_are_found() {
+    let table = RouteTable::new(vec![
+        route_match("quote", "", ""),
+        route_match("quote", "/a", ""),
+        route_match("", "", "east"),
+        route_match("place-order", "", ""),
     ]);
     assert_eq!(
         table.conflicts(),
@@ -43,16 +55,21 @@
             (1, 2, Overlap::Partial),
             (2, 3, Overlap::Partial)
         ],
-        "the second is never reached; quotes and orders of the east fit two"
+        "the second is never reached; quotes and orders of the tenant east match two routes"
     );
-    assert!(Table::new(vec![of("quote", "/a", ""), of("quote", "", ""), of("", "", "")])
-        .conflicts()
-        .is_empty());
+    assert!(RouteTable::new(vec![
+        route_match("quote", "/a", ""),
+        route_match("quote", "", ""),
+        route_match("", "", "")
+    ])
+    .conflicts()
+    .is_empty());
 }
 
-fn any_match() -> impl Strategy<Value = Match> {
-    let some =
-        |all: &'static [&'static str]| prop::option::of(prop::sample::select(all).prop_map(str::to_owned));
+fn any_match() -> impl Strategy<Value = RouteMatch> {
+    let some = |values: &'static [&'static str]| {
+        prop::option::of(prop::sample::select(values).prop_map(str::to_owned))
+    };
     (
         some(&["q", "o"]),
         some(&["/q", "/q/a", "/o"]),
@@ -60,7 +77,7 @@
         some(&["e", "w"]),
         prop::option::of(prop::bool::ANY),
     )
-        .prop_map(|(class, path_prefix, host, tenant, client_retry)| Match {
+        .prop_map(|(class, path_prefix, host, tenant, client_retry)| RouteMatch {
             class,
             path_prefix,
             host,
@@ -69,14 +86,14 @@
         })
 }
 
-fn all_requests() -> Vec<Asked<'static>> {
+fn all_requests() -> Vec<RequestAttributes<'static>> {
     let mut all = Vec::new();
     for class in ["q", "o", "z"] {
         for path in ["/q", "/q/a", "/q/a/b", "/o", "/z"] {
             for host in ["x.org", "y.org:1", "z.org"] {
                 for tenant in ["e", "w", "n"] {
                     for client_retry in [false, true] {
-                        all.push(Asked { class, path, host, tenant, client_retry });
+                        all.push(RequestAttributes { class, path, host, tenant, client_retry });
                     }
                 }
             }
@@ -88,12 +105,12 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// What is said of two matches holds for every request there can be.
+    /// The overlap reported for two matches holds for every combination of request attributes.
     #[test]
-    fn overlaps_are_true_of_all_requests(a in any_match(), b in any_match()) {
-        let both = all_requests().iter().any(|r| a.fits(r) && b.fits(r));
-        let only_b = all_requests().iter().any(|r| !a.fits(r) && b.fits(r));
-        let only_a = all_requests().iter().any(|r| a.fits(r) && !b.fits(r));
+    fn overlaps_hold_for_all_requests(a in any_match(), b in any_match()) {
+        let both = all_requests().iter().any(|r| a.accepts(r) && b.accepts(r));
+        let only_b = all_requests().iter().any(|r| !a.accepts(r) && b.accepts(r));
+        let only_a = all_requests().iter().any(|r| a.accepts(r) && !b.accepts(r));
         match a.overlap_with(&b) {
             Overlap::Disjoint => prop_assert!(!both),
             Overlap::Covers => prop_assert!(!only_b),
@@ -102,12 +119,12 @@
         }
     }
 
-    /// The index by class finds what a walk over all routes finds.
+    /// The index by class finds the same route as a linear search.
     #[test]
-    fn the_table_finds_what_a_walk_finds(all in prop::collection::vec(any_match(), 0..12)) {
-        let table = Table::new(all.clone());
-        for asked in all_requests() {
-            prop_assert_eq!(table.find(&asked), all.iter().position(|m| m.fits(&asked)));
+    fn the_table_finds_the_same_route_as_a_linear_search(all in prop::collection::vec(any_match(), 0..12)) {
+        let table = RouteTable::new(all.clone());
+        for request in all_requests() {
+            prop_assert_eq!(table.find(&request), all.iter().position(|m| m.accepts(&request)));
         }
     }
 }
--- a/crates/limits/tests/rules.rs
+++ b/crates/limits/tests/rules.rs
@@ -1,13 +1,14 @@
-//! Faults of limits against the platform's rules.
+//! Validation of limits against the platform's rules.
 
-use roseproxy_limits::budget::Terms;
-use roseproxy_limits::hedge::When;
-use roseproxy_limits::route::Match;
-use roseproxy_limits::rules::{faults, ClassFacts, Limits, Platform, RetryOn, Route};
+use roseproxy_limits::budget::BudgetConfig;
+use roseproxy_limits::hedge::HedgeDelay;
+use roseproxy_limits::route::RouteMatch;
+use roseproxy_limits::rules::{validate, ClassRules, PlatformRules, RetryOn, Route, RouteLimits};
 
-fn platform() -> Platform {
-    let class = |name: &str, deadline, runs_once| ClassFacts { name: name.into(), deadline, runs_once };
-    Platform {
+fn platform() -> PlatformRules {
+    let class =
+        |name: &str, deadline_ms, at_most_once| ClassRules { name: name.into(), deadline_ms, at_most_once };
+    PlatformRules {
         classes: vec![class("quote", 1_500.0, false), class("place-order", 2_000.0, true)],
         tenants: vec!["east".into()],
         max_attempts: 3,
@@ -15,43 +16,52 @@
     }
 }
 
-fn said(class: Option<&str>, limits: Limits) -> Vec<String> {
-    let wants = Match { class: class.map(str::to_owned), ..Match::default() };
-    faults(&[Route { name: "r".into(), wants, limits }], &platform())
+fn violations(class: Option<&str>, limits: RouteLimits) -> Vec<String> {
+    let request_match = RouteMatch { class: class.map(str::to_owned), ..RouteMatch::default() };
+    validate(&[Route { name: "r".into(), request_match, limits }], &platform())
         .iter()
         .map(ToString::to_string)
         .collect()
 }
 
 #[test]
-fn what_the_platform_forbids_is_refused_with_its_key() {
-    let hedge = Limits { hedge: Some(When::After(50.0)), ..Limits::default() };
-    assert!(said(Some("place-order"), hedge.clone())[0].contains("hedge: place-order must never run twice"));
-    assert!(said(None, hedge.clone())[0].contains("place-order"), "a route that meets it too");
-    assert_eq!(said(Some("quote"), hedge), [""; 0]);
-    let retry = Limits { retry_on: Some(vec![RetryOn::Rejected, RetryOn::Reset]), ..Limits::default() };
-    assert_eq!(said(Some("place-order"), retry.clone()).len(), 1);
-    assert_eq!(said(Some("quote"), retry), [""; 0]);
-    let attempts = |n| said(Some("quote"), Limits { attempts: Some(n), ..Limits::default() });
+fn limits_that_the_platform_forbids_are_refused_with_their_key() {
+    let hedge = RouteLimits { hedge: Some(HedgeDelay::FixedMs(50.0)), ..RouteLimits::default() };
+    assert!(
+        violations(Some("place-order"), hedge.clone())[0].contains("hedge: place-order must never run twice")
+    );
+    assert!(
+        violations(None, hedge.clone())[0].contains("place-order"),
+        "a route without a class takes its requests too"
+    );
+    assert_eq!(violations(Some("quote"), hedge), [""; 0]);
+    let retry =
+        RouteLimits { retry_on: Some(vec![RetryOn::Rejected, RetryOn::Reset]), ..RouteLimits::default() };
+    assert_eq!(violations(Some("place-order"), retry.clone()).len(), 1);
+    assert_eq!(violations(Some("quote"), retry), [""; 0]);
+    let attempts =
+        |n| violations(Some("quote"), RouteLimits { max_attempts: Some(n), ..RouteLimits::default() });
     assert!(attempts(4)[0].contains("4 is more than the platform allows, which is 3"));
     assert_eq!((attempts(0).len(), attempts(3).len()), (1, 0));
-    let long = Limits { timeout: Some(1_600.0), ..Limits::default() };
-    assert!(said(Some("quote"), long.clone())[0].contains("beyond the deadline of quote, which is 1500"));
-    assert_eq!(said(Some("place-order"), long), [""; 0]);
+    let long = RouteLimits { timeout_ms: Some(1_600.0), ..RouteLimits::default() };
+    assert!(
+        violations(Some("quote"), long.clone())[0].contains("beyond the deadline of quote, which is 1500")
+    );
+    assert_eq!(violations(Some("place-order"), long), [""; 0]);
 }
 
 #[test]
-fn figures_that_are_none_are_refused_all_at_once() {
-    let bad = Limits {
-        timeout: Some(f64::NAN),
-        attempt_timeout: Some(-1.0),
-        attempts: Some(9),
-        hedge: Some(When::Percentile(1.0)),
-        budget: Some(Terms { share: 1.2, floor: f64::INFINITY, window: 0.0 }),
+fn invalid_figures_are_all_reported_at_once() {
+    let bad = RouteLimits {
+        timeout_ms: Some(f64::NAN),
+        attempt_timeout_ms: Some(-1.0),
+        max_attempts: Some(9),
+        hedge: Some(HedgeDelay::Percentile(1.0)),
+        budget: Some(BudgetConfig { share: 1.2, floor_per_s: f64::INFINITY, window_ms: 0.0 }),
         max_concurrent: Some(0),
-        ..Limits::default()
+        ..RouteLimits::default()
     };
-    let said = said(Some("quote"), bad).join("\n");
+    let text = violations(Some("quote"), bad).join("\n");
     for key in [
         "timeout_ms",
         "attempt_timeout_ms",
@@ -62,20 +72,20 @@
         "budget.window_ms",
         "max_concurrent",
     ] {
-        assert!(said.contains(&format!("route r: {key}: ")), "{key} in {said}");
+        assert!(text.contains(&format!("route r: {key}: ")), "{key} in {text}");
     }
 }
 
 #[test]
-fn unknown_names_and_routes_in_each_others_way_are_refused() {
+fn unknown_names_duplicate_names_and_unreachable_routes_are_refused() {
     let route = |name: &str, class: Option<&str>, tenant: Option<&str>| Route {
         name: name.into(),
-        wants: Match {
+        request_match: RouteMatch {
             class: class.map(str::to_owned),
             tenant: tenant.map(str::to_owned),
-            ..Match::default()
+            ..RouteMatch::default()
         },
-        limits: Limits::default(),
+        limits: RouteLimits::default(),
     };
     let routes = [
         route("a", Some("qoute"), None),
@@ -83,8 +93,8 @@
         route("b", Some("quote"), None),
         route("c", Some("quote"), Some("east")),
     ];
-    let said: Vec<String> = faults(&routes, &platform()).iter().map(ToString::to_string).collect();
-    let all = said.join("\n");
+    let messages: Vec<String> = validate(&routes, &platform()).iter().map(ToString::to_string).collect();
+    let all = messages.join("\n");
     assert!(all.contains("route a: class: qoute is no class of the platform; those are quote, place-order"));
     assert!(all.contains("route a: tenant: west is no tenant; those are east"));
     assert!(all.contains("route a: name: another route has it too"));
