--- a/crates/capacity/src/decisions.rs
+++ b/crates/capacity/src/decisions.rs
@@ -1,15 +1,15 @@
-//! What one request costs in the decision module, by the number of endpoints known and of keys.
+//! The cost of one request in the decision module, by the number of endpoints known and the number of keys.
 //!
-//! The module is driven directly in virtual time, and each event is timed by the thread's processor
-//! clock. Requests arrive at random (Poisson); a queue with one server, as the sidecar has one
-//! thread, then tells how long each request waits for the module, its own events included. That
-//! delay is computed from measured costs: it holds on a core that nothing else uses.
+//! The module is driven directly in virtual time, and each event is timed by the thread's processor clock.
+//! Requests arrive as a Poisson process. As the sidecar has one thread, a queue with one server then yields
+//! how long each request waits for the module, including the processing of its own events. This delay is
+//! computed from measured costs; it holds on a core that nothing else uses.
 
-use crate::cost::thread_micros;
-use crate::error::{within, Error, Result};
-use crate::fit::{exponent, least_squares};
-use crate::quantiles::{thinned, Quantiles, Times};
+use crate::error::{check_range, Error, Result};
+use crate::fit::{least_squares, power_law_exponent};
+use crate::quantiles::{evenly_spaced_points, Quantiles, TimeHistogram};
 use crate::report::{Report, Table};
+use crate::usage::thread_cpu_us;
 use rand_chacha::rand_core::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, Zipf};
@@ -21,102 +21,103 @@
 use serde::Serialize;
 use std::collections::BinaryHeap;
 
-/// Time that the module gets to know its keys and endpoints before anything is counted (µs).
-const WARM_UP: Micros = 15_000_000;
-/// A request's class: its aim and when its client gives up (µs).
-const AIM: Micros = 600_000;
-const GIVE_UP: Micros = 1_500_000;
+/// Virtual time before anything is counted, in which the module learns its keys and endpoints (µs).
+const WARM_UP_US: Micros = 15_000_000;
+/// Latency goal of the request class (µs).
+const LATENCY_GOAL_US: Micros = 600_000;
+/// Time after which the client of a request gives up (µs).
+const CLIENT_TIMEOUT_US: Micros = 1_500_000;
 /// Zipf exponent of the keys' popularity.
-const POPULARITY: f64 = 1.0;
-/// A time after the last one at which homes were filled, so that they are filled again (µs).
-const FILL_AGAIN: i64 = 1_500_000;
+const KEY_ZIPF_EXPONENT: f64 = 1.0;
+/// Virtual time between two runs, long enough that the homes of keys are filled again (µs).
+const REFILL_INTERVAL_US: i64 = 1_500_000;
 
-/// What to measure.
+/// The arguments of the measurement.
 #[derive(Clone, Debug, Serialize)]
 pub struct Options {
     /// Numbers of endpoints known.
     pub endpoints: Vec<usize>,
-    /// Requests a second.
+    /// Request rates (requests per second).
     pub rates: Vec<f64>,
-    /// Numbers of keys; 0 for requests without.
+    /// Numbers of keys; 0 for requests without a key.
     pub keys: Vec<usize>,
-    /// Sidecars in the fleet.
+    /// Number of sidecars in the fleet, as set in the settings.
     pub sidecars: usize,
-    /// Mean time that an endpoint takes (ms).
+    /// Mean time that an endpoint takes for a request (ms).
     pub service_ms: f64,
-    /// Virtual seconds counted.
+    /// Measured virtual time, in seconds.
     pub seconds: u64,
-    /// Processor time that each request costs outside the module, for the computed delay (µs).
+    /// Processor time of a request outside the module, for the computed delay (µs).
     pub other_us: f64,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
-/// One cell of the measurement.
+/// One combination of the parameters.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Cell {
-    /// Endpoints known.
+    /// Number of endpoints known.
     pub endpoints: usize,
-    /// Requests a second.
+    /// Request rate (requests per second).
     pub rate: f64,
-    /// Keys; 0 for requests without.
+    /// Number of keys; 0 for requests without a key.
     pub keys: usize,
 }
 
-/// What a cell brought; times in microseconds.
+/// The figures of one cell; times in microseconds.
 #[derive(Clone, Debug, Serialize)]
-pub struct Outcomes {
-    /// The cell.
+pub struct CellResult {
+    /// The combination of parameters.
     pub cell: Cell,
-    /// Processor time of the event of a request.
+    /// Processor time of handling a request's arrival.
     pub decision: Quantiles,
-    /// Processor time of the event of an answer.
+    /// Processor time of handling an answer.
     pub answer: Quantiles,
-    /// Computed: from a request's arrival to its decision and from its answer to the end of that
-    /// event, behind whatever the one thread does first.
+    /// Computed: the time from a request's arrival to its decision plus the time from its answer to the end
+    /// of that event, including the wait for earlier work of the single thread.
     pub delay: Quantiles,
-    /// Points of the delays' distribution, evenly spaced in order (µs).
+    /// Evenly spaced points of the sorted delays (µs).
     pub distribution: Vec<f64>,
 }
 
-/// An answer that is still to come; the earliest is the greatest.
+/// An answer that is still to come. The earliest is the greatest, so that a max-heap yields it first.
 #[derive(PartialEq, Eq)]
-struct Due {
+struct PendingAnswer {
     at: Micros,
     request: u64,
     server: ServerId,
     sent: Micros,
 }
 
-impl Ord for Due {
-    fn cmp(&self, other: &Due) -> std::cmp::Ordering {
+impl Ord for PendingAnswer {
+    fn cmp(&self, other: &PendingAnswer) -> std::cmp::Ordering {
         (other.at, other.request).cmp(&(self.at, self.request))
     }
 }
 
-impl PartialOrd for Due {
-    fn partial_cmp(&self, other: &Due) -> Option<std::cmp::Ordering> {
+impl PartialOrd for PendingAnswer {
+    fn partial_cmp(&self, other: &PendingAnswer) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-/// The one thread of a sidecar: what comes while it works waits.
+/// The single thread of a sidecar, as a queue with one server.
 #[derive(Default)]
-struct Thread {
+struct SidecarThread {
     free_at: f64,
 }
 
-impl Thread {
-    /// Work that arrives at a time and takes so long; returns the time from arrival to its end (µs).
-    fn work(&mut self, at: Micros, cost: f64) -> f64 {
+impl SidecarThread {
+    /// Adds work that arrives at `at` and takes `cost` µs; returns the time from its arrival to its end (µs).
+    fn add_work(&mut self, at: Micros, cost: f64) -> f64 {
         self.free_at = self.free_at.max(at as f64) + cost;
         self.free_at - at as f64
     }
 }
 
-/// Settings of the module for such a fleet.
-pub fn settings(sidecars: usize, keyed: bool) -> Settings {
-    let class = Class { aim: AIM, give_up: GIVE_UP, worth: 2.0, ..Class::default() };
+/// Returns the module's settings for a fleet of this many sidecars.
+pub fn module_settings(sidecars: usize, keyed: bool) -> Settings {
+    let class = Class { aim: LATENCY_GOAL_US, give_up: CLIENT_TIMEOUT_US, worth: 2.0, ..Class::default() };
     Settings {
         balancers: sidecars,
         classes: vec![class],
@@ -126,8 +127,8 @@
     }
 }
 
-/// Entries of a list as the module takes them.
-pub fn servers(count: usize) -> Vec<Server> {
+/// Builds a list of `count` servers in the form of the decision module.
+pub fn server_list(count: usize) -> Vec<Server> {
     (0..count as u64)
         .map(|n| Server {
             id: ServerId((n + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15)),
@@ -138,33 +139,35 @@
         .collect()
 }
 
-/// Measures one cell.
-pub fn play(options: &Options, cell: Cell) -> Result<Outcomes> {
-    let bad = |name: &'static str, value: f64| Error::Argument {
+/// Measures one combination of the parameters.
+pub fn measure_cell(options: &Options, cell: Cell) -> Result<CellResult> {
+    let invalid = |name: &'static str, value: f64| Error::Argument {
         name,
         value: value.to_string(),
-        wanted: "above 0".into(),
+        expected: "above 0".into(),
     };
-    let gap = Exp::new(cell.rate / 1e6).map_err(|_| bad("rates", cell.rate))?;
+    let interval = Exp::new(cell.rate / 1e6).map_err(|_| invalid("rates", cell.rate))?;
     let service =
-        Exp::new(1.0 / (options.service_ms * 1e3)).map_err(|_| bad("service-ms", options.service_ms))?;
-    let popularity =
-        Zipf::new(cell.keys.max(1) as f64, POPULARITY).map_err(|_| bad("keys", cell.keys as f64))?;
+        Exp::new(1.0 / (options.service_ms * 1e3)).map_err(|_| invalid("service-ms", options.service_ms))?;
+    let popularity = Zipf::new(cell.keys.max(1) as f64, KEY_ZIPF_EXPONENT)
+        .map_err(|_| invalid("keys", cell.keys as f64))?;
     let mut rng = ChaCha8Rng::seed_from_u64(options.seed);
-    let mut balancer = Balancer::new(settings(options.sidecars, cell.keys > 0), options.seed, 0);
-    let (mut actions, mut due, mut thread) = (Vec::new(), BinaryHeap::<Due>::new(), Thread::default());
-    let list = servers(cell.endpoints);
+    let mut balancer = Balancer::new(module_settings(options.sidecars, cell.keys > 0), options.seed, 0);
+    let (mut actions, mut pending, mut thread) =
+        (Vec::new(), BinaryHeap::<PendingAnswer>::new(), SidecarThread::default());
+    let list = server_list(cell.endpoints);
     balancer.handle(0, Event::Servers { update: Update::Complete, servers: &list }, &mut actions);
-    let (mut decision, mut answer, mut delay) = (Times::default(), Times::default(), Times::default());
-    let (mut waited, mut delays) = (std::collections::HashMap::<u64, f64>::new(), Vec::new());
-    let end = WARM_UP + options.seconds as Micros * 1_000_000;
+    let (mut decision, mut answer, mut delay) =
+        (TimeHistogram::default(), TimeHistogram::default(), TimeHistogram::default());
+    let (mut arrival_delays, mut delays) = (std::collections::HashMap::<u64, f64>::new(), Vec::new());
+    let end = WARM_UP_US + options.seconds as Micros * 1_000_000;
     let (mut now, mut id) = (0.0_f64, 0_u64);
     loop {
-        now += gap.sample(&mut rng);
+        now += interval.sample(&mut rng);
         let arrival = now as Micros;
-        // Answers that come before this request.
-        while due.peek().is_some_and(|d| d.at <= arrival) {
-            let Some(Due { at, request, server, sent }) = due.pop() else { break };
+        // Handle the answers that come before this request.
+        while pending.peek().is_some_and(|d| d.at <= arrival) {
+            let Some(PendingAnswer { at, request, server, sent }) = pending.pop() else { break };
             let event = Event::Ended {
                 request,
                 attempt: 0,
@@ -175,14 +178,14 @@
                 load: Some(Load { held: Some(1.0), ..Load::default() }),
             };
             actions.clear();
-            let begun = thread_micros();
+            let started = thread_cpu_us();
             balancer.handle(at, event, &mut actions);
-            let cost = thread_micros() - begun;
-            let wait = thread.work(at, cost + options.other_us / 2.0);
-            if let Some(before) = waited.remove(&request).filter(|_| sent > WARM_UP) {
-                answer.add(cost);
-                delay.add(before + wait);
-                delays.push(before + wait);
+            let cost = thread_cpu_us() - started;
+            let delay_us = thread.add_work(at, cost + options.other_us / 2.0);
+            if let Some(before) = arrival_delays.remove(&request).filter(|_| sent > WARM_UP_US) {
+                answer.record(cost);
+                delay.record(before + delay_us);
+                delays.push(before + delay_us);
             }
         }
         if arrival > end {
@@ -190,36 +193,36 @@
         }
         id += 1;
         let key = (cell.keys > 0).then(|| (popularity.sample(&mut rng) as u64).wrapping_mul(7_919));
-        let request = Request { id, key, time_left: GIVE_UP, ..Request::default() };
+        let request = Request { id, key, time_left: CLIENT_TIMEOUT_US, ..Request::default() };
         actions.clear();
-        let begun = thread_micros();
+        let started = thread_cpu_us();
         balancer.handle(arrival, Event::Request(request), &mut actions);
-        let cost = thread_micros() - begun;
-        let wait = thread.work(arrival, cost + options.other_us / 2.0);
-        if arrival > WARM_UP {
-            decision.add(cost);
+        let cost = thread_cpu_us() - started;
+        let delay_us = thread.add_work(arrival, cost + options.other_us / 2.0);
+        if arrival > WARM_UP_US {
+            decision.record(cost);
         }
         for action in &actions {
             if let Action::Send { request, server, .. } = action {
                 let at = arrival + service.sample(&mut rng) as Micros;
-                due.push(Due { at, request: *request, server: *server, sent: arrival });
-                waited.insert(*request, wait);
+                pending.push(PendingAnswer { at, request: *request, server: *server, sent: arrival });
+                arrival_delays.insert(*request, delay_us);
             }
         }
     }
-    Ok(Outcomes {
+    Ok(CellResult {
         cell,
         decision: decision.quantiles(),
         answer: answer.quantiles(),
         delay: delay.quantiles(),
-        distribution: thinned(delays),
+        distribution: evenly_spaced_points(delays),
     })
 }
 
-/// Processor time (µs) of filling the homes of so many keys over so many endpoints, the middle of
-/// `runs`; and of drawing one home when they are filled.
-pub fn homes(endpoints: usize, keys: usize, sidecars: usize, runs: usize) -> (f64, f64) {
-    let list = servers(endpoints);
+/// Measures the median processor times (µs) of filling the homes of `keys` keys over `endpoints` endpoints,
+/// and of drawing one home once they are filled.
+pub fn measure_key_homes(endpoints: usize, keys: usize, sidecars: usize, runs: usize) -> (f64, f64) {
+    let list = server_list(endpoints);
     let mut places: Vec<Place> =
         list.iter().map(|s| Place { id: s.id.0, weight: 1.0, capacity: 1.0, most: f64::INFINITY }).collect();
     places.sort_unstable_by_key(|p| p.id);
@@ -228,41 +231,41 @@
     for run in 0..runs.max(1) {
         let mut homes = Homes::default();
         (0..keys as u64).for_each(|key| homes.saw(key.wrapping_mul(7_919)));
-        let at = run as i64 * FILL_AGAIN;
+        let at = run as i64 * REFILL_INTERVAL_US;
         for times in [&mut filled, &mut drawn] {
-            let begun = thread_micros();
+            let started = thread_cpu_us();
             std::hint::black_box(homes.home(7_919, fleet, at, 0.5));
-            times.push(thread_micros() - begun);
+            times.push(thread_cpu_us() - started);
         }
     }
-    let middle = |times: &[f64]| crate::fit::median(times).unwrap_or(f64::NAN);
-    (middle(&filled), middle(&drawn))
+    let median = |times: &[f64]| crate::fit::median(times).unwrap_or(f64::NAN);
+    (median(&filled), median(&drawn))
 }
 
-/// Measures all cells.
+/// Measures all combinations of the parameters and returns the report.
 pub fn measure(options: &Options) -> Result<Report> {
-    within("seconds", options.seconds, 1, 600)?;
-    within("sidecars", options.sidecars, 1, 1_000_000)?;
-    options.endpoints.iter().try_for_each(|n| within("endpoints", *n, 1, 10_000).map(drop))?;
-    options.keys.iter().try_for_each(|n| within("keys", *n, 0, 1_024).map(drop))?;
-    options.rates.iter().try_for_each(|n| within("rates", *n, 1.0, 10_000.0).map(drop))?;
-    let mut report = Report::begin("decisions", options);
-    let mut outcomes = Vec::new();
+    check_range("seconds", options.seconds, 1, 600)?;
+    check_range("sidecars", options.sidecars, 1, 1_000_000)?;
+    options.endpoints.iter().try_for_each(|n| check_range("endpoints", *n, 1, 10_000).map(drop))?;
+    options.keys.iter().try_for_each(|n| check_range("keys", *n, 0, 1_024).map(drop))?;
+    options.rates.iter().try_for_each(|n| check_range("rates", *n, 1.0, 10_000.0).map(drop))?;
+    let mut report = Report::start("decisions", options);
+    let mut results = Vec::new();
     for &keys in &options.keys {
         for &rate in &options.rates {
             for &endpoints in &options.endpoints {
-                outcomes.push(play(options, Cell { endpoints, rate, keys })?);
+                results.push(measure_cell(options, Cell { endpoints, rate, keys })?);
             }
         }
     }
-    report.tables.push(cells(&outcomes));
-    growth(&outcomes, &mut report.notes);
-    report.tables.push(homes_table(options));
-    report.samples = serde_json::to_value(&outcomes).unwrap_or_default();
-    Ok(report.end())
+    report.tables.push(results_table(&results));
+    add_growth_notes(&results, &mut report.notes);
+    report.tables.push(key_homes_table(options));
+    report.samples = serde_json::to_value(&results).unwrap_or_default();
+    Ok(report.finish())
 }
 
-fn cells(outcomes: &[Outcomes]) -> Table {
+fn results_table(results: &[CellResult]) -> Table {
     let mut table = Table::new(
         "Processor time of the decision module, and the delay computed from it (µs)",
         &[
@@ -282,7 +285,7 @@
             "max",
         ],
     );
-    for Outcomes { cell, decision, answer, delay, .. } in outcomes {
+    for CellResult { cell, decision, answer, delay, .. } in results {
         let figures = [
             decision.p50,
             decision.p99,
@@ -301,20 +304,21 @@
             cell.endpoints.to_string(),
             decision.count.to_string(),
         ];
-        table.row(head.into_iter().chain(figures.map(|f| format!("{f:.0}"))));
+        table.add_row(head.into_iter().chain(figures.map(|f| format!("{f:.0}"))));
     }
     table
 }
 
-/// How the middle decision grows with the endpoints, for each rate and number of keys.
-fn growth(outcomes: &[Outcomes], notes: &mut Vec<String>) {
+/// Adds notes on how the median decision time grows with the number of endpoints, for each rate and number
+/// of keys.
+fn add_growth_notes(results: &[CellResult], notes: &mut Vec<String>) {
     let mut groups = std::collections::BTreeMap::<(usize, u64), Vec<(f64, f64)>>::new();
-    for o in outcomes {
-        let group = groups.entry((o.cell.keys, o.cell.rate as u64)).or_default();
-        group.push((o.cell.endpoints as f64, o.decision.p50));
+    for result in results {
+        let group = groups.entry((result.cell.keys, result.cell.rate as u64)).or_default();
+        group.push((result.cell.endpoints as f64, result.decision.p50));
     }
     for ((keys, rate), points) in groups {
-        if let (Some(line), Some(power)) = (least_squares(&points), exponent(&points)) {
+        if let (Some(line), Some(power)) = (least_squares(&points), power_law_exponent(&points)) {
             notes.push(format!(
                 "decision p50, {keys} keys, {rate} requests/s: {:.1} + {:.4} µs for each endpoint, exponent {power:.2}",
                 line.intercept, line.slope
@@ -323,7 +327,7 @@
     }
 }
 
-fn homes_table(options: &Options) -> Table {
+fn key_homes_table(options: &Options) -> Table {
     const RUNS: usize = 15;
     let mut table = Table::new(
         "Key affinity alone: filling the homes of all keys, and drawing one (µs of processor time, middle of 15)",
@@ -331,8 +335,8 @@
     );
     for &endpoints in &options.endpoints {
         for keys in [66, 329, 512] {
-            let (filled, drawn) = homes(endpoints, keys, options.sidecars, RUNS);
-            table.row([
+            let (filled, drawn) = measure_key_homes(endpoints, keys, options.sidecars, RUNS);
+            table.add_row([
                 endpoints.to_string(),
                 keys.to_string(),
                 format!("{filled:.0}"),
--- a/crates/capacity/src/error.rs
+++ b/crates/capacity/src/error.rs
@@ -1,59 +1,60 @@
-//! Why a measurement could not be made.
+//! The error type of the crate.
 
 use std::path::PathBuf;
 
-/// Why a measurement could not be made.
+/// The reasons why a measurement cannot be made.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// An argument is out of its bounds.
-    #[error("--{name}: {value} is not {wanted}")]
+    /// An argument is outside its allowed range.
+    #[error("--{name}: {value} is not {expected}")]
     Argument {
-        /// Its name on the command line, without dashes.
+        /// Name of the argument on the command line, without dashes.
         name: &'static str,
-        /// What it was.
+        /// The value given.
         value: String,
-        /// What it must be.
-        wanted: String,
+        /// The values allowed.
+        expected: String,
     },
-    /// A file could not be read, written or started.
+    /// A file could not be read or written, or a program could not be started.
     #[error("{path}: {source}")]
     File {
-        /// Which one.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// A socket or a thread could not be set up.
-    #[error("{what}: {source}")]
+    #[error("{resource}: {source}")]
     System {
         /// What was to be set up.
-        what: &'static str,
-        /// What the system said.
+        resource: &'static str,
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// A process did not do what it was waited for.
-    #[error("the process {name} {what}")]
+    /// A process ended or did not do what the measurement waited for.
+    #[error("the process {name} {problem}")]
     Process {
-        /// Its name.
+        /// Name of the process.
         name: String,
-        /// What it did, or failed to do.
-        what: String,
+        /// What the process did or failed to do; follows the name in the message.
+        problem: String,
     },
-    /// Fewer samples came than a figure needs.
-    #[error("{what}: {count} samples, which is too few")]
+    /// There are fewer samples than a figure needs.
+    #[error("{figure}: {count} samples, which is too few")]
     TooFew {
         /// The figure.
-        what: &'static str,
-        /// How many came.
+        figure: &'static str,
+        /// Number of samples.
         count: usize,
     },
 }
 
-/// Shorthand for results of this package.
+/// The result type of this crate.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Checks that a count lies within bounds, both included.
-pub fn within<T: PartialOrd + std::fmt::Display + Copy>(
+/// Returns `value` if it lies from `low` to `high`, both included, and an error that names the argument
+/// otherwise.
+pub fn check_range<T: PartialOrd + std::fmt::Display + Copy>(
     name: &'static str,
     value: T,
     low: T,
@@ -62,5 +63,5 @@
     if value >= low && value <= high {
         return Ok(value);
     }
-    Err(Error::Argument { name, value: value.to_string(), wanted: format!("from {low} to {high}") })
+    Err(Error::Argument { name, value: value.to_string(), expected: format!("from {low} to {high}") })
 }
--- a/crates/capacity/src/experiment.rs
+++ b/crates/capacity/src/experiment.rs
@@ -1,17 +1,17 @@
-//! Experiments: files that name measurements with their arguments, to be made one after the other.
+//! Experiment files: each lists measurements with their arguments, which are made one after the other.
 
-use crate::error::{within, Error, Result};
+use crate::error::{check_range, Error, Result};
 use serde::Deserialize;
 use std::path::Path;
 
-/// Measurements of one experiment at most.
-const MOST_STEPS: usize = 50;
+/// Maximum number of measurements in one experiment.
+const MAX_STEPS: usize = 50;
 
-/// A file of measurements.
+/// An experiment file.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// What it is for.
+    /// Name of the experiment.
     pub name: String,
     /// The measurements, in order.
     #[serde(rename = "step")]
@@ -22,20 +22,21 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
-    /// What its result files are named.
+    /// File name of the results, without extension.
     pub name: String,
     /// The subcommand and its arguments, as on the command line.
     pub arguments: Vec<String>,
 }
 
 impl Experiment {
-    /// Reads a file.
+    /// Reads and parses an experiment file.
     pub fn load(path: &Path) -> Result<Experiment> {
-        let file = |source| Error::File { path: path.to_owned(), source };
-        let text = std::fs::read_to_string(path).map_err(file)?;
-        let wrong = |e: toml::de::Error| file(std::io::Error::new(std::io::ErrorKind::InvalidData, e));
-        let experiment: Experiment = toml::from_str(&text).map_err(wrong)?;
-        within("experiment steps", experiment.steps.len(), 1, MOST_STEPS)?;
+        let file_error = |source| Error::File { path: path.to_owned(), source };
+        let text = std::fs::read_to_string(path).map_err(file_error)?;
+        let parse_error =
+            |e: toml::de::Error| file_error(std::io::Error::new(std::io::ErrorKind::InvalidData, e));
+        let experiment: Experiment = toml::from_str(&text).map_err(parse_error)?;
+        check_range("experiment steps", experiment.steps.len(), 1, MAX_STEPS)?;
         Ok(experiment)
     }
 }
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -1,9 +1,9 @@
-//! Straight lines and power laws through measured points.
+//! Fits of straight lines and power laws to measured points, and the median.
 
-/// A straight line by least squares.
+/// A straight line fitted by least squares.
 #[derive(Clone, Debug, PartialEq, serde::Serialize)]
-pub struct Line {
-    /// Change of y for a unit of x.
+pub struct FittedLine {
+    /// Change of y per unit of x.
     pub slope: f64,
     /// y at x = 0.
     pub intercept: f64,
@@ -11,15 +11,15 @@
     pub residuals: Vec<f64>,
 }
 
-impl Line {
-    /// The fitted y.
-    pub fn at(&self, x: f64) -> f64 {
+impl FittedLine {
+    /// Returns the fitted y at `x`.
+    pub fn evaluate(&self, x: f64) -> f64 {
         self.intercept + self.slope * x
     }
 }
 
-/// Fits a straight line; `None` with fewer than two different x.
-pub fn least_squares(points: &[(f64, f64)]) -> Option<Line> {
+/// Fits a straight line, or returns `None` if the points have fewer than two different x.
+pub fn least_squares(points: &[(f64, f64)]) -> Option<FittedLine> {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|p| p.0).sum::<f64>() / count;
     let mean_y = points.iter().map(|p| p.1).sum::<f64>() / count;
@@ -31,18 +31,19 @@
     let slope = covariance / variance;
     let intercept = mean_y - slope * mean_x;
     let residuals = points.iter().map(|p| p.1 - (intercept + slope * p.0)).collect();
-    Some(Line { slope, intercept, residuals })
+    Some(FittedLine { slope, intercept, residuals })
 }
 
-/// The exponent b of y = a x^b, by least squares on the logarithms: 1 for a figure in proportion to
-/// x, 2 for its square. Points without a logarithm are left out; `None` with fewer than two left.
-pub fn exponent(points: &[(f64, f64)]) -> Option<f64> {
+/// Fits the exponent b of y = a x^b by least squares on the logarithms: 1 for a figure proportional to
+/// x, 2 for one that grows with its square. Points without a logarithm are left out; `None` if fewer
+/// than two remain.
+pub fn power_law_exponent(points: &[(f64, f64)]) -> Option<f64> {
     let positive = points.iter().filter(|p| p.0 > 0.0 && p.1 > 0.0);
     let logarithms: Vec<(f64, f64)> = positive.map(|p| (p.0.ln(), p.1.ln())).collect();
     least_squares(&logarithms).map(|line| line.slope)
 }
 
-/// The middle of some figures, `None` without any; NaN counts as the largest.
+/// Returns the median, or `None` without figures; NaN sorts as the largest.
 pub fn median(figures: &[f64]) -> Option<f64> {
     let mut sorted = figures.to_vec();
     sorted.sort_unstable_by(f64::total_cmp);
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,18 +1,18 @@
 //! Measures what one sidecar costs as a function of the size of the fleet.
 //!
-//! Real `roseproxy` processes run on 127.0.0.0/8 beside stand-ins of this process: config servers
-//! ([`endpoints`]) and discovery ([`discovery`]). The decision module is also driven directly
-//! ([`decisions`], [`lists`]), timed by the thread's processor clock, which other work on the
-//! machine does not blur. [`layers`] and [`attempts`] compute what several layers of calls make of
-//! one layer's figures.
-//!
-//! Every measurement is bounded in time and count and returns a [`report::Report`].
+//! Real `roseproxy` processes run on 127.0.0.0/8 against stand-ins that this process provides: config
+//! servers ([`endpoints`]) and discovery ([`discovery`]). The decision module is also driven directly
+//! ([`decisions`], [`lists`]) and timed by the thread's processor clock, which other work on the
+//! machine does not distort. [`layers`] and [`attempts`] compute the figures of a chain of several
+//! layers from those of one layer. Every measurement is bounded in time and count and returns a
+//! [`report::Report`]. The crate depends on the decision, fleet and routing crates, on the platform's
+//! discovery parser and on the emulator's HTTP code; begin reading with [`memory`], the shortest
+//! measurement.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod attempts;
 pub mod changes;
-pub mod cost;
 pub mod decisions;
 pub mod discovery;
 pub mod endpoints;
@@ -30,4 +30,5 @@
 pub mod reload;
 pub mod report;
 pub mod sidecar;
-pub mod standin;
+pub mod stand_ins;
+pub mod usage;
--- a/crates/capacity/src/lists.rs
+++ b/crates/capacity/src/lists.rs
@@ -1,14 +1,14 @@
-//! What a list or a change of one costs: reading it, and taking it in, by the number of endpoints.
+//! The processor time of parsing and of applying a list or a change, by the number of endpoints.
 //!
-//! Reader, host and module are driven directly and timed by the thread's processor clock, so that a
-//! growth faster than in proportion can be traced to one of them.
+//! The parser, the host and the decision module are driven directly and timed by the thread's processor clock,
+//! so that growth that is faster than linear can be attributed to one of them.
 
-use crate::cost::thread_micros;
-use crate::decisions::{servers, settings};
-use crate::error::{within, Error, Result};
-use crate::fit::{exponent, median};
-use crate::messages::{endpoint_address, entry, listing, Phase};
+use crate::decisions::{module_settings, server_list};
+use crate::error::{check_range, Error, Result};
+use crate::fit::{median, power_law_exponent};
+use crate::messages::{endpoint_address, list_entry, list_message, Phase};
 use crate::report::{Report, Table};
+use crate::usage::thread_cpu_us;
 use roseproxy_decision::interface::{Event, Server, Update};
 use roseproxy_decision::policy::Balancer;
 use roseproxy_platform::discovery::{self, Listing};
@@ -17,118 +17,129 @@
 use serde::Serialize;
 use serde_json::Value;
 
-/// Time between two lists, as the module sees it (µs).
-const STEP: i64 = 1_000_000;
-/// Port of the endpoints in these lists; nothing connects to them.
-const PORT: u16 = 7_070;
+/// Virtual time between two lists (µs).
+const LIST_INTERVAL_US: i64 = 1_000_000;
+/// Port of the endpoints in the lists; nothing connects to them.
+const ENDPOINT_PORT: u16 = 7_070;
 
-/// What to measure.
+/// The arguments of the measurement.
 #[derive(Clone, Debug, Serialize)]
 pub struct Options {
     /// Numbers of endpoints.
     pub endpoints: Vec<usize>,
-    /// Times that each is measured; the middle one counts.
+    /// Number of runs of each measurement; the median is reported.
     pub runs: usize,
-    /// Sidecars in the fleet.
+    /// Number of sidecars in the fleet, as set in the settings.
     pub sidecars: usize,
 }
 
-/// Processor time (µs) of each step, middle of the runs, at one number of endpoints.
+/// Median processor times (µs) of the steps for one number of endpoints.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Steps {
-    /// Endpoints of the list.
+pub struct StepTimes {
+    /// Number of endpoints in the list.
     pub endpoints: usize,
-    /// Bytes of a whole list and of a change of one entry.
+    /// Size in bytes of a whole list and of a change of one entry.
     pub bytes: (usize, usize),
-    /// Reading a whole list from its text, and a change.
+    /// Parsing a whole list, and parsing a change.
     pub read: (f64, f64),
-    /// The module takes the first list that it gets.
+    /// The module applies its first list.
     pub first: f64,
-    /// The module takes a whole list that it has.
+    /// The module applies a whole list equal to the one it has.
     pub again: f64,
-    /// The module takes a whole list in the reverse order.
+    /// The module applies the same whole list in reverse order.
     pub reversed: f64,
-    /// The module takes a whole list of other endpoints.
+    /// The module applies a whole list of entirely different endpoints.
     pub replaced: f64,
-    /// The module takes a change of one entry.
+    /// The module applies a change of one entry.
     pub change: f64,
-    /// The host, module included, takes a whole list that it has, and a change.
+    /// The host, module included, applies a whole list equal to the one it has, and a change of one entry.
     pub host: (f64, f64),
 }
 
-/// A whole list and a change of its last entry, as discovery words them.
-pub fn texts(endpoints: usize) -> (String, String) {
+/// Builds a whole list and a change of its last entry, in discovery's form.
+pub fn list_and_change(endpoints: usize) -> (String, String) {
     let whole: Vec<Value> =
-        (0..endpoints).map(|n| entry(n, endpoint_address(n, PORT), Phase::InService)).collect();
+        (0..endpoints).map(|n| list_entry(n, endpoint_address(n, ENDPOINT_PORT), Phase::InService)).collect();
     let last = endpoints.saturating_sub(1);
-    let change = [entry(last, endpoint_address(last, PORT), Phase::Terminating)];
-    (listing(1, true, &whole).to_string(), listing(2, false, &change).to_string())
+    let change = [list_entry(last, endpoint_address(last, ENDPOINT_PORT), Phase::Terminating)];
+    (list_message(1, true, &whole).to_string(), list_message(2, false, &change).to_string())
 }
 
-/// Runs a step on a fresh state each time; the middle of its processor times (µs).
-fn timed<S>(runs: usize, mut state: impl FnMut() -> S, mut step: impl FnMut(&mut S)) -> f64 {
+/// Runs a step `runs` times, each on a new state, and returns the median processor time (µs).
+fn median_time_us<S>(runs: usize, mut new_state: impl FnMut() -> S, mut step: impl FnMut(&mut S)) -> f64 {
     let mut times = Vec::with_capacity(runs);
     for _ in 0..runs {
-        let mut state = state();
-        let begun = thread_micros();
+        let mut state = new_state();
+        let started = thread_cpu_us();
         step(&mut state);
-        times.push(thread_micros() - begun);
+        times.push(thread_cpu_us() - started);
     }
     median(&times).unwrap_or(f64::NAN)
 }
 
-fn take(balancer: &mut Balancer, now: i64, update: Update, list: &[Server]) {
+fn apply_list(balancer: &mut Balancer, now: i64, update: Update, list: &[Server]) {
     balancer.handle(now, Event::Servers { update, servers: list }, &mut Vec::new());
 }
 
-fn read(text: &str) -> Result<Listing> {
-    let wrong =
-        |what| Error::Process { name: "reader".into(), what: format!("could not read a list: {what}") };
-    discovery::read(text.as_bytes()).map_err(wrong)
+fn parse(text: &str) -> Result<Listing> {
+    let parse_error = |reason| Error::Process {
+        name: "reader".into(),
+        problem: format!("could not read a list: {reason}"),
+    };
+    discovery::read(text.as_bytes()).map_err(parse_error)
 }
 
-/// Measures one number of endpoints.
-pub fn steps(options: &Options, endpoints: usize) -> Result<Steps> {
+/// Measures all steps for one number of endpoints.
+pub fn measure_steps(options: &Options, endpoints: usize) -> Result<StepTimes> {
     let runs = options.runs;
-    let (whole, change) = texts(endpoints);
-    let (all, one) = (read(&whole)?.targets, read(&change)?.targets);
-    let list = servers(endpoints);
+    let (whole, change) = list_and_change(endpoints);
+    let (all_targets, changed_target) = (parse(&whole)?.targets, parse(&change)?.targets);
+    let list = server_list(endpoints);
     let reversed: Vec<Server> = list.iter().rev().cloned().collect();
-    let others: Vec<Server> = servers(2 * endpoints).split_off(endpoints);
-    let empty = || Balancer::new(settings(options.sidecars, false), 7, 0);
+    let others: Vec<Server> = server_list(2 * endpoints).split_off(endpoints);
+    let empty = || Balancer::new(module_settings(options.sidecars, false), 7, 0);
     let filled = || {
         let mut balancer = empty();
-        take(&mut balancer, 0, Update::Complete, &list);
+        apply_list(&mut balancer, 0, Update::Complete, &list);
         balancer
     };
     let host = || {
-        let mut host = Host::new(settings(options.sidecars, false), 7, 0.0);
-        host.targets(0.0, Update::Complete, &all);
+        let mut host = Host::new(module_settings(options.sidecars, false), 7, 0.0);
+        host.targets(0.0, Update::Complete, &all_targets);
         host
     };
-    let hosted = |update, targets: &[Target]| timed(runs, host, |h| h.targets(1_000.0, update, targets));
-    Ok(Steps {
+    let host_time = |update, targets: &[Target]| {
+        median_time_us(runs, host, |host| host.targets(1_000.0, update, targets))
+    };
+    Ok(StepTimes {
         endpoints,
         bytes: (whole.len(), change.len()),
         read: (
-            timed(runs, || (), |()| drop(std::hint::black_box(discovery::read(whole.as_bytes())))),
-            timed(runs, || (), |()| drop(std::hint::black_box(discovery::read(change.as_bytes())))),
+            median_time_us(runs, || (), |()| drop(std::hint::black_box(discovery::read(whole.as_bytes())))),
+            median_time_us(runs, || (), |()| drop(std::hint::black_box(discovery::read(change.as_bytes())))),
         ),
-        first: timed(runs, empty, |b| take(b, STEP, Update::Complete, &list)),
-        again: timed(runs, filled, |b| take(b, STEP, Update::Complete, &list)),
-        reversed: timed(runs, filled, |b| take(b, STEP, Update::Complete, &reversed)),
-        replaced: timed(runs, filled, |b| take(b, STEP, Update::Complete, &others)),
-        change: timed(runs, filled, |b| take(b, STEP, Update::Changes, &list[endpoints - 1..])),
-        host: (hosted(Update::Complete, &all), hosted(Update::Changes, &one)),
+        first: median_time_us(runs, empty, |b| apply_list(b, LIST_INTERVAL_US, Update::Complete, &list)),
+        again: median_time_us(runs, filled, |b| apply_list(b, LIST_INTERVAL_US, Update::Complete, &list)),
+        reversed: median_time_us(runs, filled, |b| {
+            apply_list(b, LIST_INTERVAL_US, Update::Complete, &reversed)
+        }),
+        replaced: median_time_us(runs, filled, |b| {
+            apply_list(b, LIST_INTERVAL_US, Update::Complete, &others)
+        }),
+        change: median_time_us(runs, filled, |b| {
+            apply_list(b, LIST_INTERVAL_US, Update::Changes, &list[endpoints - 1..])
+        }),
+        host: (host_time(Update::Complete, &all_targets), host_time(Update::Changes, &changed_target)),
     })
 }
 
-/// Measures all numbers of endpoints.
+/// Measures all numbers of endpoints and returns the report.
 pub fn measure(options: &Options) -> Result<Report> {
-    within("runs", options.runs, 1, 1_000)?;
-    options.endpoints.iter().try_for_each(|n| within("endpoints", *n, 1, 4_096).map(drop))?;
-    let mut report = Report::begin("lists", options);
-    let all: Vec<Steps> = options.endpoints.iter().map(|n| steps(options, *n)).collect::<Result<_>>()?;
+    check_range("runs", options.runs, 1, 1_000)?;
+    options.endpoints.iter().try_for_each(|n| check_range("endpoints", *n, 1, 4_096).map(drop))?;
+    let mut report = Report::start("lists", options);
+    let all: Vec<StepTimes> =
+        options.endpoints.iter().map(|n| measure_steps(options, *n)).collect::<Result<_>>()?;
     let mut table = Table::new(
         "Processor time of a list (µs, middle of the runs)",
         &[
@@ -150,26 +161,27 @@
         let counts = [s.endpoints, s.bytes.0, s.bytes.1].map(|n| n.to_string());
         let times =
             [s.read.0, s.read.1, s.first, s.again, s.reversed, s.replaced, s.change, s.host.0, s.host.1];
-        table.row(counts.into_iter().chain(times.map(|t| format!("{t:.1}"))));
+        table.add_row(counts.into_iter().chain(times.map(|t| format!("{t:.1}"))));
     }
     report.tables.push(table);
-    let power = |name: &str, figure: fn(&Steps) -> f64| {
-        // The two largest: small lists are mostly fixed cost.
+    let growth_note = |name: &str, figure: fn(&StepTimes) -> f64| {
+        // Only the two largest lists: the cost of small lists is mostly fixed.
         let points: Vec<(f64, f64)> = all.iter().map(|s| (s.endpoints as f64, figure(s))).collect();
         let last = &points[points.len().saturating_sub(2)..];
-        exponent(last).map(|power| format!("{name}: exponent {power:.2} over the two largest lists"))
+        power_law_exponent(last)
+            .map(|power| format!("{name}: exponent {power:.2} over the two largest lists"))
     };
     let notes = [
-        power("read list", |s| s.read.0),
-        power("module: first list", |s| s.first),
-        power("module: same list again", |s| s.again),
-        power("module: reversed", |s| s.reversed),
-        power("module: all replaced", |s| s.replaced),
-        power("module: one change", |s| s.change),
-        power("host: same list", |s| s.host.0),
-        power("host: one change", |s| s.host.1),
+        growth_note("read list", |s| s.read.0),
+        growth_note("module: first list", |s| s.first),
+        growth_note("module: same list again", |s| s.again),
+        growth_note("module: reversed", |s| s.reversed),
+        growth_note("module: all replaced", |s| s.replaced),
+        growth_note("module: one change", |s| s.change),
+        growth_note("host: same list", |s| s.host.0),
+        growth_note("host: one change", |s| s.host.1),
     ];
     report.notes.extend(notes.into_iter().flatten());
     report.samples = serde_json::to_value(&all).unwrap_or_default();
-    Ok(report.end())
+    Ok(report.finish())
 }
--- a/crates/capacity/src/load.rs
+++ b/crates/capacity/src/load.rs
@@ -1,14 +1,14 @@
-//! Open-loop load: requests leave at times drawn beforehand, whatever the answers do, so that a slow
-//! answer holds back no later request (no coordinated omission).
+//! Open-loop load: requests are sent at times drawn beforehand, independent of the answers, so that a slow
+//! answer delays no later request (no coordinated omission).
 //!
-//! A time counts from when its request was sent; how much later that was than when it was due is the
-//! generator's own lateness, which no answer has a part in, and is kept beside it.
+//! The time of a request counts from when it was sent. The lateness, how much later that was than when the
+//! request was due, is caused by the generator alone and is recorded separately.
 
-use crate::endpoints::service_micros;
+use crate::endpoints::parse_service_time_us;
 use crate::error::{Error, Result};
-use crate::messages::CLASS;
-use crate::quantiles::Times;
-use crate::standin::{run_local, system};
+use crate::messages::REQUEST_CLASS;
+use crate::quantiles::TimeHistogram;
+use crate::stand_ins::{run_local, system_error};
 use rand_chacha::rand_core::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, Zipf};
@@ -22,34 +22,36 @@
 use tokio::task::JoinSet;
 
 /// Zipf exponent of the keys' popularity.
-pub const POPULARITY: f64 = 1.0;
-/// Time that a request gets before it counts as failed.
-const PATIENCE: Duration = Duration::from_millis(1_500);
-/// Requests of one play at most.
-const MOST_REQUESTS: usize = 1_000_000;
+pub const KEY_ZIPF_EXPONENT: f64 = 1.0;
+/// Time after which a request counts as failed.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Maximum number of requests in one run.
+const MAX_REQUESTS: usize = 1_000_000;
 
-/// One request that is to be sent.
+/// A request to be sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
-    /// When, from the start of the play.
+    /// When the request is due, from the start of the run.
     pub at: Duration,
-    /// What it is about.
+    /// Key of the request, if it has one.
     pub key: Option<u64>,
 }
 
-/// Arrivals at random (Poisson) at this rate, for keys of Zipf popularity where there are any.
-pub fn arrivals(rate: f64, length: Duration, keys: usize, seed: u64) -> Result<Vec<Arrival>> {
-    let wrong = |name: &'static str, value: f64| Error::Argument {
+/// Draws the arrivals of a Poisson process at `rate` requests per second; if `keys` is not 0, each has a key
+/// of Zipf popularity.
+pub fn draw_arrivals(rate: f64, length: Duration, keys: usize, seed: u64) -> Result<Vec<Arrival>> {
+    let invalid = |name: &'static str, value: f64| Error::Argument {
         name,
         value: value.to_string(),
-        wanted: "above 0".into(),
+        expected: "above 0".into(),
     };
-    let gap = Exp::new(rate).map_err(|_| wrong("rates", rate))?;
-    let popularity = Zipf::new(keys.max(1) as f64, POPULARITY).map_err(|_| wrong("keys", keys as f64))?;
+    let interval = Exp::new(rate).map_err(|_| invalid("rates", rate))?;
+    let popularity =
+        Zipf::new(keys.max(1) as f64, KEY_ZIPF_EXPONENT).map_err(|_| invalid("keys", keys as f64))?;
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let (mut at, mut all) = (0.0, Vec::new());
-    while all.len() < MOST_REQUESTS {
-        at += gap.sample(&mut rng);
+    while all.len() < MAX_REQUESTS {
+        at += interval.sample(&mut rng);
         if at >= length.as_secs_f64() {
             break;
         }
@@ -59,81 +61,88 @@
     Ok(all)
 }
 
-/// What a play brought.
+/// The result of one run.
 #[derive(Clone, Debug, Default)]
-pub struct Played {
-    /// From when a request was sent to the last byte of its answer, less the time that the endpoint
-    /// had it.
-    pub times: Times,
-    /// From when a request was due to when the generator sent it.
-    pub lateness: Times,
-    /// Requests sent.
+pub struct LoadResult {
+    /// Time from sending a request to the last byte of its answer, less the time that the endpoint had it.
+    pub times: TimeHistogram,
+    /// Time from when a request was due until the generator sent it.
+    pub lateness: TimeHistogram,
+    /// Number of requests sent.
     pub sent: usize,
-    /// Those without a good answer.
+    /// Number of requests without a good answer.
     pub failed: usize,
-    /// Each good answer's time (µs), in order of completion.
+    /// Time of each request with a good answer (µs), in order of completion.
     pub samples: Vec<f64>,
 }
 
-/// Sends these requests to an address; those due before `warm_up` are sent and not counted.
-pub fn play(target: SocketAddr, arrivals: Vec<Arrival>, warm_up: Duration, name: &str) -> Result<Played> {
+/// Sends requests to an address; those due before `warm_up` are sent but not counted. `name` is the prefix of
+/// the request ids.
+pub fn send_load(
+    address: SocketAddr,
+    arrivals: Vec<Arrival>,
+    warm_up: Duration,
+    name: &str,
+) -> Result<LoadResult> {
     let (sender, mut due) = mpsc::unbounded_channel::<(usize, Instant, Arrival)>();
-    let begun = Instant::now();
-    // A thread of its own, as the runtime's timers only know whole milliseconds.
-    let clock = std::thread::Builder::new().name("arrivals".into()).spawn(move || {
+    let started = Instant::now();
+    // A separate thread, because the runtime's timers have a resolution of whole milliseconds.
+    let sender_thread = std::thread::Builder::new().name("arrivals".into()).spawn(move || {
         for (number, arrival) in arrivals.into_iter().enumerate() {
-            let at = begun + arrival.at;
+            let at = started + arrival.at;
             std::thread::sleep(at.saturating_duration_since(Instant::now()));
             if sender.send((number, at, arrival)).is_err() {
                 return;
             }
         }
     });
-    let clock = clock.map_err(system("the thread of arrivals"))?;
-    let played = run_local(async move {
-        let client = Rc::new(Client { target, name: name.to_owned(), idle: RefCell::default() });
-        let (mut out, mut played) = (JoinSet::new(), Played::default());
+    let sender_thread = sender_thread.map_err(system_error("the thread of arrivals"))?;
+    let result = run_local(async move {
+        let client = Rc::new(Client { address, name: name.to_owned(), idle: RefCell::default() });
+        let (mut in_flight, mut result) = (JoinSet::new(), LoadResult::default());
         loop {
             tokio::select! {
                 biased;
                 next = due.recv() => match next {
                     Some((number, at, arrival)) => {
                         let client = client.clone();
-                        out.spawn_local(async move { client.send(number, at, arrival, at >= begun + warm_up).await });
+                        in_flight.spawn_local(async move {
+                            client.send(number, at, arrival, at >= started + warm_up).await
+                        });
                     }
                     None => break,
                 },
-                Some(done) = out.join_next() => played.add(done.ok().flatten()),
+                Some(done) = in_flight.join_next() => result.add(done.ok().flatten()),
             }
         }
-        while let Some(done) = out.join_next().await {
-            played.add(done.ok().flatten());
+        while let Some(done) = in_flight.join_next().await {
+            result.add(done.ok().flatten());
         }
-        played
+        result
     })?;
-    let _ = clock.join();
-    Ok(played)
+    let _ = sender_thread.join();
+    Ok(result)
 }
 
-/// What became of one request (µs); `None` of one in the warm-up.
-type Done = Option<Sample>;
+/// The sample of one request; `None` for a request of the warm-up.
+type MaybeSample = Option<Sample>;
 
 #[derive(Clone, Copy, Debug)]
 struct Sample {
-    late: f64,
+    lateness_us: f64,
     /// `None` without a good answer.
-    time: Option<f64>,
+    time_us: Option<f64>,
 }
 
-impl Played {
-    fn add(&mut self, done: Done) {
-        let Some(Sample { late, time }) = done else { return };
+impl LoadResult {
+    fn add(&mut self, sample: MaybeSample) {
+        let Some(Sample { lateness_us, time_us }) = sample else { return };
         self.sent += 1;
-        self.lateness.add(late);
-        match time {
-            Some(time) => {
-                self.times.add(time);
-                self.samples.push(time);
+        self.lateness.record(lateness_us);
+        match time_us {
+            Some(time_us) => {
+                self.times.record(time_us);
+                self.samples.push(time_us);
             }
             None => self.failed += 1,
         }
@@ -141,37 +150,38 @@
 }
 
 struct Client {
-    target: SocketAddr,
+    address: SocketAddr,
     name: String,
     idle: RefCell<Vec<Wire<TcpStream>>>,
 }
 
 impl Client {
-    async fn send(&self, number: usize, due: Instant, arrival: Arrival, counts: bool) -> Done {
+    async fn send(&self, number: usize, due: Instant, arrival: Arrival, counted: bool) -> MaybeSample {
         let sent = Instant::now();
-        let late = sent.saturating_duration_since(due).as_secs_f64() * 1e6;
-        let answer = tokio::time::timeout(PATIENCE, self.exchange(number, arrival)).await;
-        let whole = sent.elapsed().as_secs_f64() * 1e6;
-        let good = answer.ok().flatten().filter(|a| a.status == 200);
-        let time = good.and_then(|a| service_micros(&a.body)).map(|service| whole - service);
-        counts.then_some(Sample { late, time })
+        let lateness_us = sent.saturating_duration_since(due).as_secs_f64() * 1e6;
+        let answer = tokio::time::timeout(REQUEST_TIMEOUT, self.exchange(number, arrival)).await;
+        let total_us = sent.elapsed().as_secs_f64() * 1e6;
+        let good_answer = answer.ok().flatten().filter(|a| a.status == 200);
+        let time_us =
+            good_answer.and_then(|a| parse_service_time_us(&a.body)).map(|service_us| total_us - service_us);
+        counted.then_some(Sample { lateness_us, time_us })
     }
 
     async fn exchange(&self, number: usize, arrival: Arrival) -> Option<Answer> {
-        let text = self.request(number, arrival);
-        let kept = self.idle.borrow_mut().pop();
-        if let Some(wire) = kept {
-            if let Some(answer) = self.ask(wire, &text).await {
+        let text = self.request_text(number, arrival);
+        let idle_connection = self.idle.borrow_mut().pop();
+        if let Some(wire) = idle_connection {
+            if let Some(answer) = self.send_on(wire, &text).await {
                 return Some(answer);
             }
         }
-        // The first, or after a close that crossed the request.
-        let stream = TcpStream::connect(self.target).await.ok()?;
+        // No idle connection, or the server closed it while the request was being sent.
+        let stream = TcpStream::connect(self.address).await.ok()?;
         let _ = stream.set_nodelay(true);
-        self.ask(Wire::new(stream), &text).await
+        self.send_on(Wire::new(stream), &text).await
     }
 
-    async fn ask(&self, mut wire: Wire<TcpStream>, text: &str) -> Option<Answer> {
+    async fn send_on(&self, mut wire: Wire<TcpStream>, text: &str) -> Option<Answer> {
         wire.write(text.as_bytes()).await.ok()?;
         let answer = wire.answer().await.ok()?;
         if !answer.closes() {
@@ -180,13 +190,13 @@
         Some(answer)
     }
 
-    fn request(&self, number: usize, arrival: Arrival) -> String {
+    fn request_text(&self, number: usize, arrival: Arrival) -> String {
         let query = arrival.key.map_or(String::new(), |key| format!("?obj={key:016x}"));
         format!(
-            "GET /{CLASS}{query} HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: {name}-{number:08x}\r\n\
-             Request-Class: {CLASS}\r\nRequest-Timeout: {patience:.3}\r\n\r\n",
+            "GET /{REQUEST_CLASS}{query} HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: {name}-{number:08x}\r\n\
+             Request-Class: {REQUEST_CLASS}\r\nRequest-Timeout: {timeout:.3}\r\n\r\n",
             name = self.name,
-            patience = PATIENCE.as_secs_f64(),
+            timeout = REQUEST_TIMEOUT.as_secs_f64(),
         )
     }
 }
--- a/crates/capacity/src/main.rs
+++ b/crates/capacity/src/main.rs
@@ -1,4 +1,4 @@
-//! Measures what a sidecar costs as a function of the fleet's size.
+//! Command line of `roseproxy-capacity`, which measures what a sidecar costs by size of the fleet.
 #![forbid(unsafe_code)]
 
 use clap::{Args, Parser, Subcommand};
@@ -11,45 +11,47 @@
 use std::process::ExitCode;
 
 #[derive(Parser)]
-#[command(name = "roseproxy-capacity", version, about = "Measures what a sidecar costs at a fleet's size")]
-#[command(after_help = "Every measurement prints a table, and writes it and its samples with --out.
+#[command(name = "roseproxy-capacity", version, about = "Measures what a sidecar costs by size of the fleet")]
+#[command(
+    after_help = "Every measurement prints a table; with --out it also writes the table and its samples.
 Examples:
   roseproxy-capacity decisions --endpoints 33,200,1000 --keys 0,300
   roseproxy-capacity lists --endpoints 33,200,1000,4000
   roseproxy-capacity latency --endpoints 33,1000 --rates 170 --out out/latency
-  roseproxy-capacity experiment lab/experiments/capacity.toml --out out/capacity")]
+  roseproxy-capacity experiment lab/experiments/capacity.toml --out out/capacity"
+)]
 struct Cli {
     #[command(subcommand)]
     command: Command,
-    /// Folder for the result as JSON and as a table
+    /// Folder for the results, as JSON and as Markdown tables
     #[arg(long, global = true)]
     out: Option<PathBuf>,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Processor time of the decision module for each request, and the delay that it causes
+    /// Processor time of the decision module per request, and the delay that it causes
     Decisions(DecisionArguments),
-    /// Processor time of reading a list and of taking it in
+    /// Processor time of parsing and of applying a list
     Lists(ListArguments),
     /// Resident memory of one idle sidecar
     Memory(MemoryArguments),
-    /// Processor time, bytes and delay of changes and of whole lists
+    /// Processor time, bytes and delay of list changes and of whole lists
     Changes(ChangeArguments),
-    /// Latency added to a call, beside a bare relay and none
+    /// Latency added to a call, compared with a bare relay and with direct calls
     Latency(LatencyArguments),
-    /// Bytes and time of whole lists after a reload
+    /// Bytes and time of the whole lists requested after a reload
     Reload(ReloadArguments),
-    /// Computed: what several layers of calls make of a measured latency
+    /// Computed: added latency of a chain of several layers, from a measured distribution
     Layers(LayerArguments),
-    /// Computed: what several layers of calls make of repeated attempts
+    /// Computed: attempts at the last layer of a chain of several layers
     Attempts(AttemptArguments),
-    /// Make the measurements that a file names, one after the other
+    /// Make the measurements listed in a file, one after the other
     Experiment {
-        /// The file
+        /// Path of the experiment file
         file: PathBuf,
     },
-    /// The bare relay that `latency` starts
+    /// Run the bare relay that `latency` starts
     #[command(hide = true)]
     Relay(RelayArguments),
 }
@@ -59,25 +61,25 @@
     /// Numbers of endpoints known
     #[arg(long, value_delimiter = ',', default_value = "33,200,1000,4000")]
     endpoints: Vec<usize>,
-    /// Requests a second
+    /// Request rates (requests per second)
     #[arg(long, value_delimiter = ',', default_value = "170")]
     rates: Vec<f64>,
-    /// Numbers of keys, 0 for requests without
+    /// Numbers of keys; 0 for requests without a key
     #[arg(long, value_delimiter = ',', default_value = "0,300")]
     keys: Vec<usize>,
-    /// Sidecars in the fleet
+    /// Number of sidecars in the fleet
     #[arg(long, default_value_t = 1_000)]
     sidecars: usize,
-    /// Mean time that an endpoint takes (ms)
+    /// Mean time that an endpoint takes for a request (ms)
     #[arg(long, default_value_t = 20.0)]
     service_ms: f64,
-    /// Virtual seconds that are counted
+    /// Measured virtual time (s)
     #[arg(long, default_value_t = 60)]
     seconds: u64,
-    /// Processor time of a request outside of the module, for the computed delay (µs)
+    /// Processor time of a request outside the module, for the computed delay (µs)
     #[arg(long, default_value_t = 200.0)]
     other_us: f64,
-    /// For random numbers
+    /// Seed of the random numbers
     #[arg(long, default_value_t = 7)]
     seed: u64,
 }
@@ -87,20 +89,20 @@
     /// Numbers of endpoints in the list
     #[arg(long, value_delimiter = ',', default_value = "33,200,1000,4000")]
     endpoints: Vec<usize>,
-    /// Times that each is measured
+    /// Number of runs of each measurement
     #[arg(long, default_value_t = 31)]
     runs: usize,
-    /// Sidecars in the fleet
+    /// Number of sidecars in the fleet
     #[arg(long, default_value_t = 1_000)]
     sidecars: usize,
 }
 
 #[derive(Args)]
 struct ProgramArguments {
-    /// The sidecar's program
+    /// Path of the sidecar's program
     #[arg(long, default_value = "target/release/roseproxy")]
     program: PathBuf,
-    /// Sidecars in the fleet that the settings name
+    /// Number of sidecars in the fleet, as set in the settings
     #[arg(long, default_value_t = 1_000)]
     sidecars: usize,
 }
@@ -112,10 +114,10 @@
     /// Numbers of endpoints known
     #[arg(long, value_delimiter = ',', default_value = "33,200,1000,4000")]
     endpoints: Vec<usize>,
-    /// Processes started for each number
+    /// Number of processes started for each number of endpoints
     #[arg(long, default_value_t = 5)]
     runs: usize,
-    /// How long each is left alone before it is read (ms)
+    /// Time that a process is left idle before its memory is read (ms)
     #[arg(long, default_value_t = 2_000)]
     settle_ms: u64,
 }
@@ -127,19 +129,19 @@
     /// Numbers of endpoints known
     #[arg(long, value_delimiter = ',', default_value = "33,200,1000,4000")]
     endpoints: Vec<usize>,
-    /// Changes of one entry a second
+    /// Changes of one entry per second
     #[arg(long, default_value_t = 100.0)]
     change_rate: f64,
-    /// Whole lists a second
+    /// Whole lists per second
     #[arg(long, default_value_t = 5.0)]
     list_rate: f64,
-    /// Seconds of each phase: heartbeats alone, changes, whole lists
+    /// Length of each phase (s): heartbeats alone, changes, whole lists
     #[arg(long, default_value_t = 6)]
     seconds: u64,
-    /// Lists and changes whose taking in is timed
+    /// Number of lists, and of changes, whose application is timed
     #[arg(long, default_value_t = 20)]
     timed: usize,
-    /// Rounds over all numbers
+    /// Number of rounds over all numbers of endpoints
     #[arg(long, default_value_t = 3)]
     runs: usize,
 }
@@ -151,25 +153,25 @@
     /// Numbers of endpoints known
     #[arg(long, value_delimiter = ',', default_value = "33,200,1000")]
     endpoints: Vec<usize>,
-    /// Requests a second
+    /// Request rates (requests per second)
     #[arg(long, value_delimiter = ',', default_value = "170")]
     rates: Vec<f64>,
-    /// Keys of the requests that have one; 0 leaves keyed requests out
+    /// Number of keys of the keyed requests; 0 leaves keyed requests out
     #[arg(long, default_value_t = 300)]
     keys: usize,
-    /// Rounds in which all ways take turns
+    /// Number of rounds in which all call paths take turns
     #[arg(long, default_value_t = 5)]
     rounds: usize,
-    /// Seconds counted of each turn
+    /// Measured time of each turn (s)
     #[arg(long, default_value_t = 10)]
     seconds: u64,
-    /// Seconds of each turn before them
+    /// Time at the start of each turn that is not measured (s)
     #[arg(long, default_value_t = 2)]
     warm_up: u64,
-    /// Time that an endpoint takes (ms)
+    /// Time that an endpoint takes for a request (ms)
     #[arg(long, default_value_t = 20)]
     service_ms: u64,
-    /// For random numbers
+    /// Seed of the random numbers
     #[arg(long, default_value_t = 7)]
     seed: u64,
 }
@@ -181,26 +183,26 @@
     /// Numbers of endpoints in the list
     #[arg(long, value_delimiter = ',', default_value = "33,1000")]
     endpoints: Vec<usize>,
-    /// Numbers of sidecars told at once
+    /// Numbers of sidecars reloaded at once
     #[arg(long, value_delimiter = ',', default_value = "1,10,40")]
     at_once: Vec<usize>,
-    /// Times that each is measured
+    /// Number of runs of each measurement
     #[arg(long, default_value_t = 3)]
     runs: usize,
 }
 
 #[derive(Args)]
 struct LayerArguments {
-    /// The JSON result of `latency` or of `decisions`
+    /// Path of a JSON result of `latency` or `decisions`
     #[arg(long)]
     result: PathBuf,
     /// Numbers of layers
     #[arg(long, value_delimiter = ',', default_value = "1,11")]
     depths: Vec<usize>,
-    /// Sums drawn for each
+    /// Number of sums drawn for each number of layers
     #[arg(long, default_value_t = 200_000)]
     draws: usize,
-    /// For random numbers
+    /// Seed of the random numbers
     #[arg(long, default_value_t = 7)]
     seed: u64,
 }
@@ -213,105 +215,107 @@
     /// Shares of attempts that fail at the last layer
     #[arg(long, value_delimiter = ',', default_value = "0.01,0.1,0.5,1")]
     failing: Vec<f64>,
-    /// Requests at the first layer
+    /// Number of requests at the first layer
     #[arg(long, default_value_t = 2_000)]
     requests: usize,
 }
 
 #[derive(Args)]
 struct RelayArguments {
-    /// Where clients connect
+    /// Address on which clients connect
     #[arg(long)]
     listen: SocketAddr,
-    /// The one endpoint
+    /// Address of the endpoint
     #[arg(long)]
     to: SocketAddr,
 }
 
 fn measure(command: Command) -> Result<Report, Error> {
     match command {
-        Command::Memory(a) => memory::measure(&memory::Options {
-            program: a.program.program,
-            endpoints: a.endpoints,
-            runs: a.runs,
-            settle_ms: a.settle_ms,
-            sidecars: a.program.sidecars,
+        Command::Memory(args) => memory::measure(&memory::Options {
+            program: args.program.program,
+            endpoints: args.endpoints,
+            runs: args.runs,
+            settle_ms: args.settle_ms,
+            sidecars: args.program.sidecars,
         }),
-        Command::Changes(a) => changes::measure(&changes::Options {
-            program: a.program.program,
-            endpoints: a.endpoints,
-            change_rate: a.change_rate,
-            list_rate: a.list_rate,
-            seconds: a.seconds,
-            timed: a.timed,
-            runs: a.runs,
-            sidecars: a.program.sidecars,
+        Command::Changes(args) => changes::measure(&changes::Options {
+            program: args.program.program,
+            endpoints: args.endpoints,
+            change_rate: args.change_rate,
+            list_rate: args.list_rate,
+            seconds: args.seconds,
+            timed: args.timed,
+            runs: args.runs,
+            sidecars: args.program.sidecars,
         }),
-        Command::Latency(a) => latency::measure(&latency::Options {
-            program: a.program.program,
+        Command::Latency(args) => latency::measure(&latency::Options {
+            program: args.program.program,
             relay: std::env::current_exe()
-                .map_err(|source| Error::System { what: "this program's path", source })?,
-            endpoints: a.endpoints,
-            rates: a.rates,
-            keys: a.keys,
-            rounds: a.rounds,
-            seconds: a.seconds,
-            warm_up: a.warm_up,
-            service_ms: a.service_ms,
-            sidecars: a.program.sidecars,
-            seed: a.seed,
+                .map_err(|source| Error::System { resource: "this program's path", source })?,
+            endpoints: args.endpoints,
+            rates: args.rates,
+            keys: args.keys,
+            rounds: args.rounds,
+            seconds: args.seconds,
+            warm_up: args.warm_up,
+            service_ms: args.service_ms,
+            sidecars: args.program.sidecars,
+            seed: args.seed,
         }),
-        Command::Reload(a) => reload::measure(&reload::Options {
-            program: a.program.program,
-            endpoints: a.endpoints,
-            at_once: a.at_once,
-            runs: a.runs,
-            sidecars: a.program.sidecars,
+        Command::Reload(args) => reload::measure(&reload::Options {
+            program: args.program.program,
+            endpoints: args.endpoints,
+            at_once: args.at_once,
+            runs: args.runs,
+            sidecars: args.program.sidecars,
         }),
-        Command::Layers(a) => layers::measure(&layers::Options {
-            result: a.result,
-            depths: a.depths,
-            draws: a.draws,
-            seed: a.seed,
+        Command::Layers(args) => layers::measure(&layers::Options {
+            result: args.result,
+            depths: args.depths,
+            draws: args.draws,
+            seed: args.seed,
         }),
-        Command::Attempts(a) => attempts::measure(&attempts::Options {
-            depths: a.depths,
-            failing: a.failing,
-            requests: a.requests,
+        Command::Attempts(args) => attempts::measure(&attempts::Options {
+            depths: args.depths,
+            failing: args.failing,
+            requests: args.requests,
         }),
-        Command::Relay(a) => {
-            relay::run(a.listen, a.to)?;
-            Ok(Report::begin("relay", &()))
+        Command::Relay(args) => {
+            relay::run(args.listen, args.to)?;
+            Ok(Report::start("relay", &()))
         }
         Command::Experiment { .. } => Err(Error::Argument {
             name: "experiment",
             value: "an experiment".into(),
-            wanted: "a single measurement".into(),
+            expected: "a single measurement".into(),
         }),
-        Command::Decisions(a) => decisions::measure(&decisions::Options {
-            endpoints: a.endpoints,
-            rates: a.rates,
-            keys: a.keys,
-            sidecars: a.sidecars,
-            service_ms: a.service_ms,
-            seconds: a.seconds,
-            other_us: a.other_us,
-            seed: a.seed,
+        Command::Decisions(args) => decisions::measure(&decisions::Options {
+            endpoints: args.endpoints,
+            rates: args.rates,
+            keys: args.keys,
+            sidecars: args.sidecars,
+            service_ms: args.service_ms,
+            seconds: args.seconds,
+            other_us: args.other_us,
+            seed: args.seed,
+        }),
+        Command::Lists(args) => lists::measure(&lists::Options {
+            endpoints: args.endpoints,
+            runs: args.runs,
+            sidecars: args.sidecars,
         }),
-        Command::Lists(a) => {
-            lists::measure(&lists::Options { endpoints: a.endpoints, runs: a.runs, sidecars: a.sidecars })
-        }
     }
 }
 
-/// Makes one measurement, prints its table and keeps the result.
+/// Makes one measurement, prints its report and writes it if a folder is given.
 fn run(cli: Cli, name: Option<&str>) -> Result<(), Error> {
     let report = measure(cli.command)?;
-    println!("{}", report.markdown());
+    println!("{}", report.to_markdown());
     cli.out.map_or(Ok(()), |folder| report.write(&folder, name.unwrap_or(&report.command)))
 }
 
-/// Makes all measurements of a file. All are read before the first is made.
+/// Makes all measurements of an experiment file. All are parsed before the first is made.
 fn run_all(file: &Path, out: Option<&Path>) -> Result<(), Error> {
     let experiment = Experiment::load(file)?;
     let mut steps = Vec::new();
@@ -320,7 +324,7 @@
         let cli = Cli::try_parse_from(words).map_err(|e| Error::Argument {
             name: "experiment",
             value: step.name.clone(),
-            wanted: format!("a measurement: {e}"),
+            expected: format!("a measurement: {e}"),
         })?;
         steps.push((step.name, cli));
     }
@@ -333,11 +337,11 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let done = match &cli.command {
+    let result = match &cli.command {
         Command::Experiment { file } => run_all(file, cli.out.as_deref()),
         _ => run(cli, None),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(reason) => {
             eprintln!("roseproxy-capacity: {reason}");
--- a/crates/capacity/src/quantiles.rs
+++ b/crates/capacity/src/quantiles.rs
@@ -3,27 +3,27 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// The longest time told apart from longer ones: 100 s, in nanoseconds.
-const LONGEST_NS: u64 = 100_000_000_000;
-/// Significant decimal digits kept of each time.
-const DIGITS: u8 = 3;
-/// Points of a distribution that are kept for later computations.
-const KEPT: usize = 2_000;
+/// Longest time that the histogram distinguishes: 100 s, in nanoseconds. Longer times count as this long.
+const MAX_TIME_NS: u64 = 100_000_000_000;
+/// Significant decimal digits that the histogram keeps of each time.
+const SIGNIFICANT_DIGITS: u8 = 3;
+/// Maximum number of points that a report keeps of a distribution, for later computations.
+const MAX_DISTRIBUTION_POINTS: usize = 2_000;
 
 /// Times, collected in a histogram of high dynamic range.
 #[derive(Clone, Debug)]
-pub struct Times(Option<Histogram<u64>>);
+pub struct TimeHistogram(Option<Histogram<u64>>);
 
-impl Default for Times {
-    fn default() -> Times {
-        Times(Histogram::new_with_bounds(1, LONGEST_NS, DIGITS).ok())
+impl Default for TimeHistogram {
+    fn default() -> TimeHistogram {
+        TimeHistogram(Histogram::new_with_bounds(1, MAX_TIME_NS, SIGNIFICANT_DIGITS).ok())
     }
 }
 
 /// The quantiles that capacity is planned by, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Quantiles {
-    /// How many times there are.
+    /// Number of times recorded.
     pub count: u64,
     /// The mean.
     pub mean: f64,
@@ -37,20 +37,20 @@
     pub max: f64,
 }
 
-impl Times {
-    /// Adds a time in microseconds; negative ones count as nothing.
-    pub fn add(&mut self, micros: f64) {
+impl TimeHistogram {
+    /// Records a time in microseconds; negative times count as zero.
+    pub fn record(&mut self, micros: f64) {
         if let Some(histogram) = &mut self.0 {
             histogram.saturating_record((micros.max(0.0) * 1e3) as u64);
         }
     }
 
-    /// A quantile, 0 to 1, in microseconds.
-    pub fn quantile(&self, part: f64) -> f64 {
-        self.0.as_ref().map_or(0.0, |h| h.value_at_quantile(part) as f64 / 1e3)
+    /// Returns a quantile in microseconds; `quantile` is from 0 to 1.
+    pub fn quantile(&self, quantile: f64) -> f64 {
+        self.0.as_ref().map_or(0.0, |h| h.value_at_quantile(quantile) as f64 / 1e3)
     }
 
-    /// The quantiles that capacity is planned by.
+    /// Returns the quantiles that capacity is planned by.
     pub fn quantiles(&self) -> Quantiles {
         let Some(histogram) = &self.0 else { return Quantiles::default() };
         Quantiles {
@@ -64,11 +64,12 @@
     }
 }
 
-/// Evenly spaced points of the sorted samples, the greatest among them.
-pub fn thinned(mut samples: Vec<f64>) -> Vec<f64> {
+/// Returns evenly spaced points of the sorted samples, the greatest among them, rounded to a tenth of a
+/// microsecond.
+pub fn evenly_spaced_points(mut samples: Vec<f64>) -> Vec<f64> {
     samples.sort_unstable_by(f64::total_cmp);
-    let count = samples.len().min(KEPT);
-    let at = |i: usize| ((i + 1) * samples.len() / count).saturating_sub(1);
-    let tenth = |micros: f64| (micros * 10.0).round() / 10.0;
-    (0..count).map(|i| tenth(samples[at(i)])).collect()
+    let count = samples.len().min(MAX_DISTRIBUTION_POINTS);
+    let sample_index = |i: usize| ((i + 1) * samples.len() / count).saturating_sub(1);
+    let round_to_tenth = |micros: f64| (micros * 10.0).round() / 10.0;
+    (0..count).map(|i| round_to_tenth(samples[sample_index(i)])).collect()
 }
--- a/crates/capacity/src/report.rs
+++ b/crates/capacity/src/report.rs
@@ -1,40 +1,40 @@
-//! The result of a measurement, as JSON and as a table for a page.
+//! The result of a measurement, written as JSON and as Markdown.
 
-use crate::cost::load_average;
 use crate::error::{Error, Result};
+use crate::usage::load_average;
 use serde::Serialize;
 use std::fmt::Write;
 use std::path::Path;
 
-/// A measured, or computed, table.
+/// A table of measured or computed figures.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Table {
-    /// What it shows.
+    /// Title of the table.
     pub title: String,
     /// Column names, with units.
     pub columns: Vec<String>,
-    /// Rows as they are printed.
+    /// Rows of formatted cells.
     pub rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// An empty table.
+    /// Creates a table without rows.
     pub fn new(title: &str, columns: &[&str]) -> Table {
         let columns = columns.iter().map(|c| (*c).to_owned()).collect();
         Table { title: title.to_owned(), columns, rows: Vec::new() }
     }
 
     /// Adds a row.
-    pub fn row(&mut self, cells: impl IntoIterator<Item = String>) {
+    pub fn add_row(&mut self, cells: impl IntoIterator<Item = String>) {
         self.rows.push(cells.into_iter().collect());
     }
 
-    /// The table in Markdown.
-    pub fn markdown(&self) -> String {
+    /// Formats the table as Markdown.
+    pub fn to_markdown(&self) -> String {
         let mut text = format!("{}\n\n| {} |\n", self.title, self.columns.join(" | "));
-        let rule = vec!["---"; self.columns.len()].join(" | ");
-        // Writing to a text cannot fail.
-        let _ = writeln!(text, "| {rule} |");
+        let separator = vec!["---"; self.columns.len()].join(" | ");
+        // Writing to a `String` cannot fail.
+        let _ = writeln!(text, "| {separator} |");
         for row in &self.rows {
             let _ = writeln!(text, "| {} |", row.join(" | "));
         }
@@ -42,12 +42,12 @@
     }
 }
 
-/// What one measurement brought.
+/// The result of one measurement.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     /// The subcommand.
     pub command: String,
-    /// The arguments in force, defaults included.
+    /// The arguments used, defaults included.
     pub arguments: serde_json::Value,
     /// Load average of the machine before and after.
     pub load_average: (f64, f64),
@@ -55,13 +55,13 @@
     pub tables: Vec<Table>,
     /// Fits and single figures, by name.
     pub notes: Vec<String>,
-    /// Raw samples, for whoever wants to work on them.
+    /// Raw samples, for further analysis.
     pub samples: serde_json::Value,
 }
 
 impl Report {
-    /// A report that begins now.
-    pub fn begin(command: &str, arguments: &impl Serialize) -> Report {
+    /// Starts a report and reads the load average.
+    pub fn start(command: &str, arguments: &impl Serialize) -> Report {
         Report {
             command: command.to_owned(),
             arguments: serde_json::to_value(arguments).unwrap_or_default(),
@@ -72,20 +72,20 @@
         }
     }
 
-    /// Ends the measurement: reads the load average once more.
-    pub fn end(mut self) -> Report {
+    /// Finishes the report by reading the load average once more.
+    pub fn finish(mut self) -> Report {
         self.load_average.1 = load_average();
         self
     }
 
-    /// The report in Markdown.
-    pub fn markdown(&self) -> String {
+    /// Formats the report as Markdown.
+    pub fn to_markdown(&self) -> String {
         let (before, after) = self.load_average;
         let mut text = format!("# {}\n\n", self.command);
         let _ = writeln!(text, "Arguments: `{}`", self.arguments);
         let _ = writeln!(text, "\nLoad average before {before:.1}, after {after:.1}.\n");
         self.tables.iter().for_each(|table| {
-            let _ = writeln!(text, "{}", table.markdown());
+            let _ = writeln!(text, "{}", table.to_markdown());
         });
         self.notes.iter().for_each(|note| {
             let _ = writeln!(text, "- {note}");
@@ -95,12 +95,12 @@
 
     /// Writes `NAME.json` and `NAME.md` into a folder.
     pub fn write(&self, folder: &Path, name: &str) -> Result<()> {
-        let file = |path: &Path, source| Error::File { path: path.to_owned(), source };
-        std::fs::create_dir_all(folder).map_err(|e| file(folder, e))?;
+        let file_error = |path: &Path, source| Error::File { path: path.to_owned(), source };
+        std::fs::create_dir_all(folder).map_err(|e| file_error(folder, e))?;
         let json = serde_json::to_string_pretty(self).unwrap_or_default();
-        for (ending, text) in [("json", json), ("md", self.markdown())] {
-            let path = folder.join(format!("{name}.{ending}"));
-            std::fs::write(&path, text).map_err(|e| file(&path, e))?;
+        for (extension, text) in [("json", json), ("md", self.to_markdown())] {
+            let path = folder.join(format!("{name}.{extension}"));
+            std::fs::write(&path, text).map_err(|e| file_error(&path, e))?;
         }
         Ok(())
     }
--- a/crates/capacity/src/sidecar.rs
+++ b/crates/capacity/src/sidecar.rs
@@ -1,8 +1,8 @@
-//! A `roseproxy` process: started, asked, measured, told to reload, and ended.
+//! Starts, queries, measures, reloads and stops `roseproxy` processes.
 
-use crate::cost::Usage;
 use crate::error::{Error, Result};
-use crate::messages::configuration;
+use crate::messages::sidecar_config;
+use crate::usage::Usage;
 use roseproxy_emulator::http::Wire;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
@@ -13,23 +13,23 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
 
-/// Time that a process gets to become ready.
+/// Time in which a process must become ready.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time between two questions whether it is.
-const ASK_PAUSE: Duration = Duration::from_millis(10);
-/// Descriptors that the platform allows a sidecar.
-pub const SOCKETS: usize = 1_024;
+/// Time between two readiness checks.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Number of descriptors that the platform allows a sidecar.
+pub const SOCKET_LIMIT: usize = 1_024;
 
-/// A child process that is killed when this is dropped.
+/// A child process that is killed when the value is dropped.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
-    /// Its name in messages.
+    /// Name of the process in error messages.
     pub name: String,
 }
 
 impl Process {
-    /// Starts a program; its output goes to a file, or nowhere.
+    /// Starts a program. Its standard error goes to the file `log`, or is discarded without one.
     pub fn start(name: &str, command: &mut Command, log: Option<&Path>) -> Result<Process> {
         let program = PathBuf::from(command.get_program());
         let log = log.and_then(|path| std::fs::File::create(path).ok()).map_or(Stdio::null(), Stdio::from);
@@ -38,132 +38,132 @@
         Ok(Process { child, name: name.to_owned() })
     }
 
-    /// What it has used so far.
+    /// Returns the processor time and memory that the process has used so far.
     pub fn usage(&self) -> Result<Usage> {
-        Usage::of(self.child.id()).ok_or_else(|| self.error("has ended"))
+        Usage::of_process(self.child.id()).ok_or_else(|| self.error("has ended"))
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) -> Result<()> {
         let pid = Pid::from_child(&self.child);
         kill_process(pid, signal).map_err(|e| self.error(&format!("could not be signalled: {e}")))
     }
 
-    /// An error of this process.
-    pub fn error(&self, what: &str) -> Error {
-        Error::Process { name: self.name.clone(), what: what.to_owned() }
+    /// Builds an error about this process.
+    pub fn error(&self, problem: &str) -> Error {
+        Error::Process { name: self.name.clone(), problem: problem.to_owned() }
     }
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // One that has ended is only waited for.
+        // For a process that has already ended, the kill has no effect and only the wait matters.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// A folder for configurations and logs, removed when dropped.
+/// A temporary folder for configurations and logs, removed when the value is dropped.
 #[derive(Debug)]
-pub struct Folder(pub PathBuf);
+pub struct TempFolder(pub PathBuf);
 
-impl Folder {
-    /// A new folder below the system's place for temporary files.
-    pub fn new() -> Result<Folder> {
+impl TempFolder {
+    /// Creates a new folder in the system's folder for temporary files.
+    pub fn new() -> Result<TempFolder> {
         let nanos = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         let name = format!("roseproxy-capacity-{}-{}", std::process::id(), nanos.as_nanos());
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&path).map_err(|source| Error::File { path: path.clone(), source })?;
-        Ok(Folder(path))
+        Ok(TempFolder(path))
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// A running sidecar.
+/// A running sidecar process.
 #[derive(Debug)]
 pub struct Sidecar {
-    /// Its process.
+    /// The process.
     pub process: Process,
-    /// Where it listens.
+    /// Address on which the sidecar listens.
     pub listen: SocketAddr,
-    file: PathBuf,
+    config_file: PathBuf,
     settings: Value,
 }
 
 impl Sidecar {
-    /// Starts one; it is not ready yet.
+    /// Starts a sidecar without waiting until it is ready.
     pub fn start(
         program: &Path,
-        folder: &Folder,
+        folder: &TempFolder,
         name: &str,
         discovery: SocketAddr,
         settings: Value,
     ) -> Result<Sidecar> {
-        let listen = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), crate::standin::free_port()?);
-        let file = folder.0.join(format!("{name}.json"));
-        write_configuration(&file, name, listen, discovery, &settings)?;
+        let listen = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), crate::stand_ins::free_port()?);
+        let config_file = folder.0.join(format!("{name}.json"));
+        write_configuration(&config_file, name, listen, discovery, &settings)?;
         let log = folder.0.join(format!("{name}.log"));
         let mut command = Command::new(program);
-        let process = Process::start(name, command.env("LB_CONFIG", &file), Some(&log))?;
-        Ok(Sidecar { process, listen, file, settings })
+        let process = Process::start(name, command.env("LB_CONFIG", &config_file), Some(&log))?;
+        Ok(Sidecar { process, listen, config_file, settings })
     }
 
-    /// Writes a configuration with another discovery and has it read.
+    /// Writes a configuration with another discovery address and signals the sidecar to reload it.
     pub fn reload(&self, discovery: SocketAddr) -> Result<()> {
-        write_configuration(&self.file, &self.process.name, self.listen, discovery, &self.settings)?;
+        write_configuration(&self.config_file, &self.process.name, self.listen, discovery, &self.settings)?;
         self.process.signal(Signal::HUP)
     }
 
-    /// Waits until it answers that it is ready.
-    pub async fn ready(&self) -> Result<()> {
+    /// Waits until the sidecar reports that it is ready.
+    pub async fn wait_until_ready(&self) -> Result<()> {
         let deadline = Instant::now() + START_TIMEOUT;
         while Instant::now() < deadline {
             self.process.usage()?;
             if get(self.listen, "/health/ready").await.is_some_and(|(status, _)| status == 200) {
                 return Ok(());
             }
-            tokio::time::sleep(ASK_PAUSE).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
         Err(self.process.error("did not become ready"))
     }
 
-    /// Its counters by name.
+    /// Returns the sidecar's counters by name.
     pub async fn counters(&self) -> Result<BTreeMap<String, f64>> {
         let answer = get(self.listen, "/health/counters").await;
-        let (_, text) = answer.ok_or_else(|| self.process.error("did not tell its counters"))?;
+        let (_, text) = answer.ok_or_else(|| self.process.error("did not return its counters"))?;
         Ok(parse_counters(&text))
     }
 }
 
-/// A connection on which counters are asked for again and again.
+/// A persistent connection for reading a sidecar's counters repeatedly.
 #[derive(Debug)]
-pub struct CounterProbe {
+pub struct CounterConnection {
     wire: Wire<TcpStream>,
 }
 
-impl CounterProbe {
-    /// Opens it.
-    pub async fn open(sidecar: &Sidecar) -> Result<CounterProbe> {
+impl CounterConnection {
+    /// Opens the connection.
+    pub async fn open(sidecar: &Sidecar) -> Result<CounterConnection> {
         let stream = TcpStream::connect(sidecar.listen).await;
-        let stream = stream.map_err(crate::standin::system("a connection for counters"))?;
+        let stream = stream.map_err(crate::stand_ins::system_error("a connection for counters"))?;
         let _ = stream.set_nodelay(true);
-        Ok(CounterProbe { wire: Wire::new(stream) })
+        Ok(CounterConnection { wire: Wire::new(stream) })
     }
 
-    /// The counters now; `None` where the connection has ended.
+    /// Reads the current counters; `None` if the connection has ended.
     pub async fn read(&mut self) -> Option<BTreeMap<String, f64>> {
-        self.wire.write(request("/health/counters").as_bytes()).await.ok()?;
+        self.wire.write(get_request("/health/counters").as_bytes()).await.ok()?;
         let answer = self.wire.answer().await.ok()?;
         Some(parse_counters(&String::from_utf8_lossy(&answer.body)))
     }
 }
 
-/// Reads lines of `name value`; others are skipped.
+/// Parses lines of the form `name value`; other lines are skipped.
 pub fn parse_counters(text: &str) -> BTreeMap<String, f64> {
     let pair = |line: &str| {
         let (name, value) = line.split_once(' ')?;
@@ -179,17 +179,17 @@
     discovery: SocketAddr,
     settings: &Value,
 ) -> Result<()> {
-    let text = configuration(name, listen, discovery, SOCKETS, settings).to_string();
+    let text = sidecar_config(name, listen, discovery, SOCKET_LIMIT, settings).to_string();
     std::fs::write(file, text).map_err(|source| Error::File { path: file.to_owned(), source })
 }
 
-fn request(path: &str) -> String {
+fn get_request(path: &str) -> String {
     format!("GET {path} HTTP/1.1\r\nhost: capacity\r\n\r\n")
 }
 
 async fn get(address: SocketAddr, path: &str) -> Option<(u16, String)> {
     let mut wire = Wire::new(TcpStream::connect(address).await.ok()?);
-    wire.write(request(path).as_bytes()).await.ok()?;
+    wire.write(get_request(path).as_bytes()).await.ok()?;
     let answer = wire.answer().await.ok()?;
     Some((answer.status, String::from_utf8_lossy(&answer.body).into_owned()))
 }
--- a/crates/capacity/tests/stand_ins.rs
+++ b/crates/capacity/tests/stand_ins.rs
@@ -1,13 +1,13 @@
-//! The stand-ins, the open-loop load and the bare relay on 127.0.0.0/8, and what is asked of them.
+//! The stand-ins, the open-loop load and the bare relay on 127.0.0.0/8, and the command line.
 
-use roseproxy_capacity::decisions::{play, Cell, Options};
-use roseproxy_capacity::discovery::chunk;
+use roseproxy_capacity::decisions::{measure_cell, Cell, Options};
+use roseproxy_capacity::discovery::watch_chunk;
 use roseproxy_capacity::experiment::Experiment;
-use roseproxy_capacity::lists::texts;
-use roseproxy_capacity::load::{arrivals, play as send};
+use roseproxy_capacity::lists::list_and_change;
+use roseproxy_capacity::load::{draw_arrivals, send_load};
 use roseproxy_capacity::messages::endpoint_address;
 use roseproxy_capacity::sidecar::{parse_counters, Process};
-use roseproxy_capacity::standin::{free_port, run_local, whole_list, Plan, StandIns};
+use roseproxy_capacity::stand_ins::{free_port, run_local, whole_list, StandInConfig, StandIns};
 use roseproxy_emulator::http::Wire;
 use roseproxy_platform::discovery::{read, WatchDecoder, WatchFrame};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -17,8 +17,9 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_roseproxy-capacity");
 
-fn stand_ins(listed: usize, served: usize) -> StandIns {
-    StandIns::start(Plan { listed, served, service: Duration::from_millis(2) }).expect("loopback")
+fn start_stand_ins(listed_endpoints: usize, served_endpoints: usize) -> StandIns {
+    let service_time = Duration::from_millis(2);
+    StandIns::start(StandInConfig { listed_endpoints, served_endpoints, service_time }).expect("loopback")
 }
 
 async fn get(address: SocketAddr, path: &str) -> (Wire<TcpStream>, Option<Vec<u8>>) {
@@ -29,10 +30,10 @@
     (wire, answer)
 }
 
-/// A sidecar's own reader takes the lists for what they are meant to be.
+/// The parser that sidecars use reads the generated lists and changes as intended.
 #[test]
-fn lists_and_changes_are_read_by_the_platforms_reader() {
-    let (whole, change) = texts(1_000);
+fn the_platforms_parser_reads_lists_and_changes() {
+    let (whole, change) = list_and_change(1_000);
     let whole = read(whole.as_bytes()).expect("a list");
     assert_eq!((whole.targets.len(), whole.unread), (1_000, 0));
     let addresses: std::collections::HashSet<_> = whole.targets.iter().map(|t| (t.id, t.address)).collect();
@@ -46,15 +47,15 @@
 }
 
 #[test]
-fn discovery_tells_the_list_and_what_is_published() {
-    let stand_ins = stand_ins(5, 0);
+fn discovery_serves_the_list_and_published_objects() {
+    let stand_ins = start_stand_ins(5, 0);
     let discovery = &stand_ins.discovery;
     run_local(async {
         let (_, list) = get(discovery.address, "/registry/instances").await;
         assert_eq!(list, Some(whole_list(1, 5, stand_ins.port).into_bytes()));
-        // A watch is an answer in chunks, which this reader leaves unread behind its head.
-        let (mut wire, none) = get(discovery.address, "/registry/instances?stream=1&index=1").await;
-        assert_eq!(none, None);
+        // A watch is a chunked answer; this parser reads its head and leaves the chunks unread.
+        let (mut wire, body) = get(discovery.address, "/registry/instances?stream=1&index=1").await;
+        assert_eq!(body, None);
         while discovery.open_watches() == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
@@ -71,29 +72,30 @@
 
 #[test]
 fn a_heartbeat_is_an_empty_line() {
-    assert_eq!(chunk(""), b"1\r\n\n\r\n");
+    assert_eq!(watch_chunk(""), b"1\r\n\n\r\n");
     let (mut decoder, mut frames) = (WatchDecoder::default(), Vec::new());
     decoder.take(b"\n", |frame| frames.push(frame));
     assert_eq!(frames, [WatchFrame::Heartbeat]);
 }
 
 #[test]
-fn arrivals_are_drawn_by_rate_and_popularity() {
+fn arrivals_follow_rate_and_key_popularity() {
     let length = Duration::from_secs(20);
-    let all = arrivals(500.0, length, 300, 7).expect("arrivals");
+    let all = draw_arrivals(500.0, length, 300, 7).expect("arrivals");
     assert!((9_500..10_500).contains(&all.len()), "{}", all.len());
     assert!(all.windows(2).all(|w| w[0].at <= w[1].at) && all.iter().all(|a| a.at < length));
     let first = all.iter().filter(|a| a.key == Some(1)).count();
     let last = all.iter().filter(|a| a.key == Some(300)).count();
     assert!(first > 20 * last.max(1), "{first} for the most popular key, {last} for the least");
-    assert!(arrivals(500.0, length, 0, 7).is_ok_and(|all| all.iter().all(|a| a.key.is_none())));
-    assert!(arrivals(-1.0, length, 0, 7).is_err_and(|e| e.to_string().contains("--rates")));
+    assert!(draw_arrivals(500.0, length, 0, 7).is_ok_and(|all| all.iter().all(|a| a.key.is_none())));
+    assert!(draw_arrivals(-1.0, length, 0, 7).is_err_and(|e| e.to_string().contains("--rates")));
 }
 
-/// All that was due is sent and answered, directly and over the relay, with no more than was there.
+/// All requests that are due are sent and answered, directly and through the relay, and only those after the
+/// warm-up are counted. Without a listener all requests fail.
 #[test]
-fn load_counts_what_is_sent_behind_the_warm_up() {
-    let stand_ins = stand_ins(1, 1);
+fn load_counts_requests_sent_after_the_warm_up() {
+    let stand_ins = start_stand_ins(1, 1);
     let endpoint = endpoint_address(0, stand_ins.port);
     let listen = SocketAddr::from((Ipv4Addr::LOCALHOST, free_port().expect("a port")));
     let mut command = Command::new(PROGRAM);
@@ -108,21 +110,21 @@
     .expect("a runtime");
     let warm_up = Duration::from_millis(200);
     for address in [endpoint, listen] {
-        let due = arrivals(100.0, Duration::from_millis(800), 10, 7).expect("arrivals");
+        let due = draw_arrivals(100.0, Duration::from_millis(800), 10, 7).expect("arrivals");
         let counted = due.iter().filter(|a| a.at >= warm_up).count();
-        let played = send(address, due, warm_up, "test").expect("a play");
-        assert_eq!((played.sent, played.failed, played.samples.len()), (counted, 0, counted));
-        assert_eq!(played.times.quantiles().count as usize, counted);
+        let result = send_load(address, due, warm_up, "test").expect("a run");
+        assert_eq!((result.sent, result.failed, result.samples.len()), (counted, 0, counted));
+        assert_eq!(result.times.quantiles().count as usize, counted);
     }
-    let nowhere = SocketAddr::from((Ipv4Addr::LOCALHOST, free_port().expect("a port")));
-    let due = arrivals(100.0, Duration::from_millis(100), 0, 7).expect("arrivals");
+    let unused_address = SocketAddr::from((Ipv4Addr::LOCALHOST, free_port().expect("a port")));
+    let due = draw_arrivals(100.0, Duration::from_millis(100), 0, 7).expect("arrivals");
     let count = due.len();
-    let played = send(nowhere, due, Duration::ZERO, "test").expect("a play");
-    assert_eq!((played.sent, played.failed), (count, count), "what nobody answers has failed");
+    let result = send_load(unused_address, due, Duration::ZERO, "test").expect("a run");
+    assert_eq!((result.sent, result.failed), (count, count), "requests without an answer have failed");
 }
 
 #[test]
-fn decisions_are_counted_and_none_is_faster_than_its_own_cost() {
+fn decisions_are_counted_and_delays_include_the_cost_outside_the_module() {
     let options = Options {
         endpoints: vec![20],
         rates: vec![170.0],
@@ -133,14 +135,14 @@
         other_us: 50.0,
         seed: 7,
     };
-    let done = play(&options, Cell { endpoints: 20, rate: 170.0, keys: 50 }).expect("a cell");
-    assert!((400..620).contains(&done.decision.count), "{}", done.decision.count);
-    assert!(done.answer.count > 0 && done.delay.count == done.answer.count);
-    assert!(done.delay.p50 >= 50.0, "a request takes what it costs outside of the module at least");
+    let result = measure_cell(&options, Cell { endpoints: 20, rate: 170.0, keys: 50 }).expect("a cell");
+    assert!((400..620).contains(&result.decision.count), "{}", result.decision.count);
+    assert!(result.answer.count > 0 && result.delay.count == result.answer.count);
+    assert!(result.delay.p50 >= 50.0, "a delay includes at least the cost outside the module");
 }
 
 #[test]
-fn counters_are_read_and_other_lines_skipped() {
+fn counters_are_parsed_and_other_lines_skipped() {
     let counters = parse_counters("discovery_lists 3\nno number\nflows_taken 17\n\n");
     assert_eq!(
         counters.into_iter().collect::<Vec<_>>(),
@@ -149,19 +151,19 @@
 }
 
 #[test]
-fn bad_arguments_are_named() {
-    let said = |arguments: &[&str]| {
+fn errors_name_the_invalid_argument() {
+    let error_output = |arguments: &[&str]| {
         let output = Command::new(PROGRAM).args(arguments).output().expect("the program");
         assert!(!output.status.success(), "{arguments:?}");
         String::from_utf8_lossy(&output.stderr).into_owned()
     };
-    assert!(said(&["memory", "--endpoints", "0"]).contains("--endpoints: 0 is not from 1 to 4096"));
-    assert!(said(&["changes", "--list-rate", "1e9"]).contains("--list-rate"));
-    assert!(said(&["latency", "--rounds", "many"]).contains("--rounds"));
-    assert!(said(&["decisions", "--seconds", "0"]).contains("--seconds"));
-    assert!(said(&["memory", "--program", "no/such/program"]).contains("no/such/program"));
-    assert!(said(&["layers", "--result", "no/such/result"]).contains("no/such/result"));
-    assert!(said(&["attempts", "--failing", "1.5"]).contains("--failing"));
+    assert!(error_output(&["memory", "--endpoints", "0"]).contains("--endpoints: 0 is not from 1 to 4096"));
+    assert!(error_output(&["changes", "--list-rate", "1e9"]).contains("--list-rate"));
+    assert!(error_output(&["latency", "--rounds", "many"]).contains("--rounds"));
+    assert!(error_output(&["decisions", "--seconds", "0"]).contains("--seconds"));
+    assert!(error_output(&["memory", "--program", "no/such/program"]).contains("no/such/program"));
+    assert!(error_output(&["layers", "--result", "no/such/result"]).contains("no/such/result"));
+    assert!(error_output(&["attempts", "--failing", "1.5"]).contains("--failing"));
 }
 
 #[test]
@@ -182,9 +184,9 @@
     assert_eq!(table.lines().filter(|l| l.starts_with("| ")).count(), 4, "{table}");
 }
 
-/// The shipped experiments name measurements and arguments that there are.
+/// The shipped experiment file uses only measurements and flags that exist.
 #[test]
-fn shipped_experiments_are_read_and_faulty_ones_refused() {
+fn the_shipped_experiment_is_read_and_invalid_ones_are_refused() {
     let shipped = concat!(env!("CARGO_MANIFEST_DIR"), "/../../lab/experiments/capacity.toml");
     let experiment = Experiment::load(shipped.as_ref()).expect("the shipped file");
     for step in &experiment.steps {
