--- a/crates/capacity/src/discovery.rs
+++ b/crates/capacity/src/discovery.rs
@@ -86,7 +86,7 @@
 
     async fn converse(&self, stream: TcpStream) {
         let mut wire = Wire::new(stream);
-        while let Ok(request) = wire.request().await {
+        while let Ok(request) = wire.read_request().await {
             if let Some(index) = request.path.strip_prefix(WATCH) {
                 return self.watch(&mut wire, index.parse().unwrap_or(0)).await;
             }
@@ -120,7 +120,7 @@
                     // One that lags that far would need a whole list: its watch ends.
                     Err(_) => return,
                 },
-                more = wire.more() => match more {
+                more = wire.fill_buffer() => match more {
                     Ok(true) => continue,
                     _ => return,
                 },
--- a/crates/capacity/src/endpoints.rs
+++ b/crates/capacity/src/endpoints.rs
@@ -35,7 +35,7 @@
 
     async fn converse(&self, stream: TcpStream) {
         let mut wire = Wire::new(stream);
-        while wire.request().await.is_ok() {
+        while wire.read_request().await.is_ok() {
             let begun = Instant::now();
             self.active.set(self.active.get() + 1);
             tokio::time::sleep(self.service).await;
--- a/crates/capacity/src/load.rs
+++ b/crates/capacity/src/load.rs
@@ -173,8 +173,8 @@
 
     async fn ask(&self, mut wire: Wire<TcpStream>, text: &str) -> Option<Answer> {
         wire.write(text.as_bytes()).await.ok()?;
-        let answer = wire.answer().await.ok()?;
-        if !answer.closes() {
+        let answer = wire.read_answer().await.ok()?;
+        if !answer.closes_connection() {
             self.idle.borrow_mut().push(wire);
         }
         Some(answer)
--- a/crates/capacity/src/sidecar.rs
+++ b/crates/capacity/src/sidecar.rs
@@ -158,7 +158,7 @@
     /// The counters now; `None` where the connection has ended.
     pub async fn read(&mut self) -> Option<BTreeMap<String, f64>> {
         self.wire.write(request("/health/counters").as_bytes()).await.ok()?;
-        let answer = self.wire.answer().await.ok()?;
+        let answer = self.wire.read_answer().await.ok()?;
         Some(parse_counters(&String::from_utf8_lossy(&answer.body)))
     }
 }
@@ -190,6 +190,6 @@
 async fn get(address: SocketAddr, path: &str) -> Option<(u16, String)> {
     let mut wire = Wire::new(TcpStream::connect(address).await.ok()?);
     wire.write(request(path).as_bytes()).await.ok()?;
-    let answer = wire.answer().await.ok()?;
+    let answer = wire.read_answer().await.ok()?;
     Some((answer.status, String::from_utf8_lossy(&answer.body).into_owned()))
 }
--- a/crates/capacity/tests/stand_ins.rs
+++ b/crates/capacity/tests/stand_ins.rs
@@ -25,7 +25,7 @@
     let mut wire = Wire::new(TcpStream::connect(address).await.expect("loopback"));
     let request = format!("GET {path} HTTP/1.1\r\nhost: test\r\n\r\n");
     wire.write(request.as_bytes()).await.expect("a request");
-    let answer = wire.answer().await.ok().map(|a| a.body.to_vec());
+    let answer = wire.read_answer().await.ok().map(|a| a.body.to_vec());
     (wire, answer)
 }
 
--- a/crates/emulator/src/accounting/mod.rs
+++ b/crates/emulator/src/accounting/mod.rs
@@ -1,7 +1,8 @@
-//! Request accounting, and the oracles that read it: what was asked, tried, run and answered.
+//! Request accounting: all tries, attempts, runs and responses, and the rule checks based on them.
 //!
-//! Nothing here comes from a sidecar's counters. A broken rule becomes a [`Violation`] at the time at which
-//! it is observed. The rules are the platform's, with its limits and tolerances.
+//! The records come from the emulator's own observations and never from a sidecar's counters. A broken rule is
+//! recorded as a [`Violation`] at the time at which it is observed. The rules, limits and tolerances are those
+//! of the platform.
 
 mod records;
 
@@ -12,44 +13,52 @@
 use bytes::Bytes;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Violations that are kept in full; further ones are only counted.
-const KEPT: usize = 200;
+/// Maximum number of violations stored in full; further ones are only counted.
+const MAX_STORED_VIOLATIONS: usize = 200;
 
-/// What became of every request, probe and connection of a simulation.
+/// The records of all requests, probes and connections of a simulation.
 #[derive(Debug, Default)]
 pub struct RequestAccounting {
-    /// Tries in the order they were sent.
+    /// Tries in the order in which they were sent.
     pub tries: Vec<Try>,
+    /// Index in `tries` by `Request-Id`.
     by_id: HashMap<u64, usize>,
-    /// Violations, the first of them in full.
+    /// The violations, up to a maximum number stored.
     pub violations: Vec<Violation>,
-    /// How many there were of each.
-    pub counts: BTreeMap<Rule, u64>,
-    /// Places that a sidecar's list has named: one that is free may be another server's by now.
-    listed: BTreeSet<(usize, usize)>,
-    /// When a sidecar was told, at the latest, that a server drains or is gone.
-    told: BTreeMap<(usize, usize), f64>,
-    /// When the list told of it, to anybody who asks.
-    leaving: BTreeMap<usize, f64>,
-    /// Where and when each request of an unsafe class (by `Request-Id`) or a keyed one (by its flow) first
-    /// ran, and how often.
+    /// Number of violations of each rule.
+    pub violation_counts: BTreeMap<Rule, u64>,
+    /// Pairs of sidecar and address index that a list has named. Addresses are tracked rather than servers, as a
+    /// replacement may take over the address of a server that has gone.
+    listed_addresses: BTreeSet<(usize, usize)>,
+    /// By sidecar and server: when discovery first sent the sidecar a list in which the server drains or is gone.
+    told_leaving_at: BTreeMap<(usize, usize), f64>,
+    /// By server: when the registry first listed it as draining or gone.
+    registry_leaving_at: BTreeMap<usize, f64>,
+    /// Place and time of the first run of each request, and the number of runs. Requests of keyed classes are
+    /// identified by their flow, all others by their `Request-Id`.
     runs: HashMap<(Effect, u64), (Place, f64, u32)>,
-    /// Probes by server.
+    /// Number of probes by server.
     pub probes: BTreeMap<usize, u64>,
-    /// Connections opened, by server.
+    /// Number of connections opened, by server.
     pub connections: BTreeMap<usize, u64>,
-    /// Work sent to servers (ms of a standard core), and that of it which brought no answer.
-    pub work: (f64, f64),
-    /// Attempts in another zone than their sidecar's, of all.
-    pub crossed: u64,
-    /// Most descriptors held by each sidecar.
-    pub descriptors: BTreeMap<usize, usize>,
-    /// Calls answered and failed by discovery.
-    pub calls: (u64, u64),
-    /// Bad requests sent, and those answered by an error or a close in time.
-    pub bad: (u64, u64),
-    /// Spoilt answers by kind.
-    pub spoilt: BTreeMap<String, u64>,
+    /// Work sent to servers (ms of a standard core).
+    pub work_sent: f64,
+    /// The part of that work that produced no response.
+    pub work_wasted: f64,
+    /// Attempts sent to a server in another zone than the sidecar's.
+    pub cross_zone_attempts: u64,
+    /// Maximum number of descriptors held by each sidecar.
+    pub most_descriptors: BTreeMap<usize, usize>,
+    /// Calls that discovery answered.
+    pub calls_answered: u64,
+    /// Calls that discovery failed.
+    pub calls_failed: u64,
+    /// Malformed requests sent.
+    pub malformed_sent: u64,
+    /// Malformed requests answered with an error or a close within the time limit.
+    pub malformed_rejected: u64,
+    /// Number of corrupted responses by kind.
+    pub corrupted_answers: BTreeMap<String, u64>,
 }
 
 impl RequestAccounting {
@@ -62,16 +71,16 @@
         flow: Option<usize>,
         what: String,
     ) {
-        *self.counts.entry(rule).or_default() += 1;
-        if self.violations.len() < KEPT {
+        *self.violation_counts.entry(rule).or_default() += 1;
+        if self.violations.len() < MAX_STORED_VIOLATIONS {
             self.violations.push(Violation { at, rule, sidecar, flow, what });
         }
     }
 
-    /// Records that a client sends a try at `sent`, to be given up at `until` (ms); returns its index in
+    /// Records that a client sends a try at `sent` and gives it up at `until` (ms); returns its index in
     /// [`RequestAccounting::tries`].
-    pub fn begin(&mut self, id: u64, flow: usize, number: usize, sent: f64, until: f64) -> usize {
-        let at = self.tries.len();
+    pub fn record_try(&mut self, id: u64, flow: usize, number: usize, sent: f64, until: f64) -> usize {
+        let index = self.tries.len();
         self.tries.push(Try {
             id,
             flow,
@@ -85,132 +94,150 @@
             taken: false,
             bodies: Vec::new(),
         });
-        self.by_id.insert(id, at);
-        at
+        self.by_id.insert(id, index);
+        index
     }
 
     /// The index of the try with a `Request-Id`.
-    pub fn find(&self, id: u64) -> Option<usize> {
+    pub fn find_try(&self, id: u64) -> Option<usize> {
         self.by_id.get(&id).copied()
     }
 
-    /// Records that discovery told a sidecar of a server, as in service or as leaving.
-    pub fn list_said(&mut self, now: f64, sidecar: usize, server: usize, place: usize, in_service: bool) {
-        self.listed.insert((sidecar, place));
+    /// Records that discovery sent a sidecar an entry of a server, in service or leaving.
+    pub fn record_listed_server(
+        &mut self,
+        now: f64,
+        sidecar: usize,
+        server: usize,
+        address_index: usize,
+        in_service: bool,
+    ) {
+        self.listed_addresses.insert((sidecar, address_index));
         if in_service {
-            self.told.remove(&(sidecar, server));
+            self.told_leaving_at.remove(&(sidecar, server));
         } else {
-            self.told.entry((sidecar, server)).or_insert(now);
+            self.told_leaving_at.entry((sidecar, server)).or_insert(now);
         }
     }
 
-    /// Records that discovery tells anybody who asks of a server, as in service or as leaving.
-    pub fn list_has(&mut self, now: f64, server: usize, in_service: bool) {
+    /// Records a change of a server in the registry, to in service or to leaving.
+    pub fn record_registry_change(&mut self, now: f64, server: usize, in_service: bool) {
         if in_service {
-            self.leaving.remove(&server);
+            self.registry_leaving_at.remove(&server);
         } else {
-            self.leaving.entry(server).or_insert(now);
+            self.registry_leaving_at.entry(server).or_insert(now);
         }
     }
 
-    /// Records an attempt that a server has received whole, its first byte at `came` (ms). Returns the
-    /// index of its try and its number in that; `None` where no client sent it, which is a violation.
-    pub fn attempt(
+    /// Records an attempt that a server has received completely; its first byte arrived at `received_at` (ms).
+    /// Returns the index of its try and its number within the try; `None` if no client sent it, which is a
+    /// violation.
+    pub fn record_attempt(
         &mut self,
         schedule: &Schedule,
         id: u64,
         sidecar: usize,
-        (server, place): (usize, usize),
-        came: f64,
+        (server, address_index): (usize, usize),
+        received_at: f64,
         now: f64,
     ) -> Option<(usize, usize)> {
-        let Some(at) = self.find(id) else {
+        let Some(index) = self.find_try(id) else {
             let what = format!("id {id:016x} at server {server}");
             self.record_violation(now, Rule::Unknown, Some(sidecar), None, what);
             return None;
         };
-        let (flow, number) = (self.tries[at].flow, self.tries[at].attempts.len());
-        let limits = &schedule.day.limits;
-        if !self.listed.contains(&(sidecar, place)) {
+        let (flow, number) = (self.tries[index].flow, self.tries[index].attempts.len());
+        let limits = &schedule.scenario.limits;
+        if !self.listed_addresses.contains(&(sidecar, address_index)) {
             let what = format!("server {server}");
             self.record_violation(now, Rule::Unlisted, Some(sidecar), Some(flow), what);
         }
-        let told = self.told_of_leaving(sidecar, server, limits.told_within_ms);
-        if came > told + limits.drain_grace_ms + limits.slack_ms {
-            let what = format!("server {server}, {:.0} ms after", came - told);
+        let told = self.leaving_known_at(sidecar, server, limits.told_within_ms);
+        if received_at > told + limits.drain_grace_ms + limits.slack_ms {
+            let what = format!("server {server}, {:.0} ms after", received_at - told);
             self.record_violation(now, Rule::PastDrain, Some(sidecar), Some(flow), what);
         }
         if number >= limits.max_attempts {
             let what = format!("attempt {}", number + 1);
             self.record_violation(now, Rule::Attempts, Some(sidecar), Some(flow), what);
         }
-        self.tries[at].open_attempt(server, came);
-        Some((at, number))
+        self.tries[index].open_attempt(server, received_at);
+        Some((index, number))
     }
 
-    /// When a sidecar knew, at the latest, that a server drains or is gone (ms); infinite where it need not.
-    /// Discovery's word counts as known after `told_within` (ms).
-    fn told_of_leaving(&self, sidecar: usize, server: usize, told_within: f64) -> f64 {
-        let told = self.told.get(&(sidecar, server)).copied();
-        let had = self.leaving.get(&server).map(|at| at + told_within);
-        told.into_iter().chain(had).fold(f64::INFINITY, f64::min)
+    /// The latest time (ms) at which a sidecar must have known that a server drains or is gone; infinite if it
+    /// need not know. A change of the registry counts as known after `told_within` (ms).
+    fn leaving_known_at(&self, sidecar: usize, server: usize, told_within: f64) -> f64 {
+        let told = self.told_leaving_at.get(&(sidecar, server)).copied();
+        let in_registry = self.registry_leaving_at.get(&server).map(|at| at + told_within);
+        told.into_iter().chain(in_registry).fold(f64::INFINITY, f64::min)
     }
 
     /// Records that a server accepted an attempt, which may run from now on. A second run of unsafe work is a
-    /// violation; one of keyed work is harmless inside the first run's group and within its time window.
-    pub fn ran(&mut self, schedule: &Schedule, now: f64, (at, number): (usize, usize), place: Place) {
-        let one = &mut self.tries[at];
-        one.attempts[number].ran = true;
-        let (flow, id) = (one.flow, one.id);
+    /// violation; a second run of keyed work is harmless within the group and time window of the first run.
+    pub fn record_run(
+        &mut self,
+        schedule: &Schedule,
+        now: f64,
+        (index, number): (usize, usize),
+        place: Place,
+    ) {
+        let record = &mut self.tries[index];
+        record.attempts[number].ran = true;
+        let (flow, id) = (record.flow, record.id);
         let arrival = &schedule.arrivals[flow];
         let class = schedule.class(arrival);
-        let of = if class.effect == Effect::Keyed { flow as u64 } else { id };
-        let ran = self.runs.entry((class.effect, of)).or_insert((place, now, 0));
-        ran.2 += 1;
-        let (first, since, runs) = *ran;
-        let together = match class.group {
+        let run_key = if class.effect == Effect::Keyed { flow as u64 } else { id };
+        let run = self.runs.entry((class.effect, run_key)).or_insert((place, now, 0));
+        run.2 += 1;
+        let (first_place, first_at, runs) = *run;
+        let same_group = match class.group {
             Group::All => true,
-            Group::Zone => first.zone == place.zone,
-            Group::Cell => first.cell == place.cell,
+            Group::Zone => first_place.zone == place.zone,
+            Group::Cell => first_place.cell == place.cell,
         };
-        let dropped = together && now - since <= class.window_ms + schedule.day.limits.slack_ms;
+        let deduplicated =
+            same_group && now - first_at <= class.window_ms + schedule.scenario.limits.slack_ms;
         let harmless =
-            runs == 1 || class.effect == Effect::Safe || (class.effect == Effect::Keyed && dropped);
+            runs == 1 || class.effect == Effect::Safe || (class.effect == Effect::Keyed && deduplicated);
         if !harmless {
-            let what = format!("run {runs} in {place:?}, {:.0} ms after the first in {first:?}", now - since);
+            let what = format!(
+                "run {runs} in {place:?}, {:.0} ms after the first in {first_place:?}",
+                now - first_at
+            );
             self.record_violation(now, Rule::SecondRun, Some(arrival.sidecar), Some(flow), what);
         }
     }
 
-    /// Records how an attempt ended at its server; only the first end counts.
-    pub fn attempt_ended(&mut self, now: f64, (at, number): (usize, usize), end: AttemptEnd) {
-        let one = &mut self.tries[at].attempts[number];
-        if one.end == AttemptEnd::Open {
-            (one.end, one.ended) = (end, Some(now));
+    /// Records how an attempt ended at its server; later calls for the same attempt have no effect.
+    pub fn record_attempt_end(&mut self, now: f64, (index, number): (usize, usize), end: AttemptEnd) {
+        let record = &mut self.tries[index].attempts[number];
+        if record.end == AttemptEnd::Open {
+            (record.end, record.ended) = (end, Some(now));
         }
     }
 
-    /// Records a body that a server produced for a try.
-    pub fn made(&mut self, at: usize, body: Bytes) {
-        self.tries[at].bodies.push(body);
+    /// Records a response body that a server produced for a try.
+    pub fn record_body(&mut self, index: usize, body: Bytes) {
+        self.tries[index].bodies.push(body);
     }
 
     /// Whether a server produced this body for a try.
-    pub fn is_made(&self, at: usize, body: &[u8]) -> bool {
-        self.tries[at].bodies.iter().any(|b| b == body)
+    pub fn has_body(&self, index: usize, body: &[u8]) -> bool {
+        self.tries[index].bodies.iter().any(|b| b == body)
     }
 
     /// Records how a try ended at its client.
-    pub fn end(&mut self, now: f64, at: usize, end: TryEnd, regret: Option<Regret>) {
-        let one = &mut self.tries[at];
-        (one.ended, one.end, one.regret) = (now, end, regret);
+    pub fn record_try_end(&mut self, now: f64, index: usize, end: TryEnd, regret: Option<Regret>) {
+        let record = &mut self.tries[index];
+        (record.ended, record.end, record.regret) = (now, end, regret);
     }
 
-    /// Records the open descriptors of a sidecar; the first excess over the limit is a violation.
-    pub fn holds(&mut self, now: f64, sidecar: usize, descriptors: usize, limit: usize) {
-        let most = self.descriptors.entry(sidecar).or_default();
-        let before = *most;
-        *most = before.max(descriptors);
+    /// Records the open descriptors of a sidecar; exceeding the limit for the first time is a violation.
+    pub fn record_descriptors(&mut self, now: f64, sidecar: usize, descriptors: usize, limit: usize) {
+        let maximum = self.most_descriptors.entry(sidecar).or_default();
+        let before = *maximum;
+        *maximum = before.max(descriptors);
         if descriptors > limit && before <= limit {
             self.record_violation(
                 now,
--- a/crates/emulator/src/accounting/records.rs
+++ b/crates/emulator/src/accounting/records.rs
@@ -4,15 +4,15 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A rule of the platform.
+/// A rule of the platform. The names appear in results.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// Every accepted request gets one whole response.
+    /// Every accepted request gets one complete response.
     Unanswered,
     /// The response arrives before the client's timeout.
     Late,
-    /// The sidecar closed the connection of a request that it had accepted.
+    /// The sidecar does not close the connection of a request that it has accepted.
     Lost,
     /// A served body was produced by a server for this request.
     WrongBody,
@@ -20,15 +20,15 @@
     ServedBad,
     /// A malformed request gets an error or a close within the time limit.
     BadUnanswered,
-    /// An unsafe request never runs twice, nor a keyed one where no server would drop the repeat.
+    /// An unsafe request never runs twice, nor does a keyed one where no server deduplicates the repeat.
     SecondRun,
-    /// No new attempt goes to a draining server after the drain's grace period.
+    /// No new attempt is sent to a draining server after the grace period of the drain.
     PastDrain,
-    /// No cold server is overloaded until it fails.
+    /// No cold server fails by overload.
     PushedOver,
-    /// Sidecars send only to servers that discovery has told them of.
+    /// Sidecars send only to servers that discovery has listed for them.
     Unlisted,
-    /// The attempts of one request stay within their limit.
+    /// The number of attempts for one request stays within its limit.
     Attempts,
     /// Servers receive only requests that a client has sent.
     Unknown,
@@ -38,7 +38,7 @@
     Memory,
     /// The sidecar's counters agree with the emulator's.
     Books,
-    /// A sidecar's process never exits unless it is told to.
+    /// A sidecar's process exits only when told to.
     Crash,
     /// A sidecar becomes ready after its start.
     NotReady,
@@ -50,18 +50,18 @@
     }
 }
 
-/// A broken rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, Serialize)]
 pub struct Violation {
-    /// When (ms).
+    /// The time of the violation (ms).
     pub at: f64,
-    /// Which.
+    /// The violated rule.
     pub rule: Rule,
-    /// The sidecar that broke it, where it is known.
+    /// The sidecar that violated it, if known.
     pub sidecar: Option<usize>,
-    /// The request (the number of its arrival), where the rule is about one.
+    /// The flow (number of the arrival), if the rule concerns one.
     pub flow: Option<usize>,
-    /// A description for people.
+    /// A human-readable description.
     pub what: String,
 }
 
@@ -69,40 +69,40 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AttemptEnd {
-    /// Not yet.
+    /// Still in progress.
     Open,
-    /// Answered whole.
+    /// Answered with a complete response.
     Served,
     /// Answered with an error.
     Error,
-    /// Turned away: the waiting room is full.
+    /// Rejected: the queue is full.
     Full,
-    /// Turned away: it drains.
+    /// Rejected: the server drains or is down.
     Draining,
-    /// Turned away: too many connections.
+    /// Rejected: the connection table is full.
     Crowded,
-    /// Answered with what can't be read.
+    /// Answered with a corrupted response that cannot be read.
     Spoilt,
-    /// Its sidecar hung up.
+    /// The sidecar closed the connection.
     HungUp,
-    /// Its server went down or was cut off.
+    /// The server went down, was partitioned, or closed the connection.
     Cut,
 }
 
-/// One attempt, from its first byte at the server on.
+/// One request of a sidecar to a server.
 #[derive(Clone, Debug, Serialize)]
 pub struct Attempt {
-    /// The server's number.
+    /// The number of the server.
     pub server: usize,
-    /// When its first byte came (ms).
+    /// When the server received its first byte (ms).
     pub came: f64,
-    /// Whether the server took it into work or its waiting room.
+    /// Whether the server accepted it to run or to wait in its queue.
     pub ran: bool,
-    /// Whether an earlier one was still out.
+    /// Whether an earlier attempt of the same try was still open.
     pub second_copy: bool,
     /// When it ended (ms).
     pub ended: Option<f64>,
-    /// How.
+    /// How it ended.
     pub end: AttemptEnd,
 }
 
@@ -110,74 +110,75 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TryEnd {
-    /// Not yet.
+    /// Still in progress.
     Open,
-    /// Served whole.
+    /// Served with a complete response.
     Served,
-    /// Refused, with this advice (ms; 0 for none).
+    /// Rejected with 429 or 503; holds the `Retry-After` (ms; 0 if absent).
     Refused(f64),
-    /// Failed, with this status.
+    /// Failed with this status code.
     Failed(u16),
-    /// No connection came up.
+    /// No connection could be used: connecting failed, no permit was free in time, or the request was not written.
     NoConnection,
-    /// Nothing came in time, or the connection ended.
+    /// No valid response arrived in time, or the connection ended.
     Nothing,
-    /// The sidecar was killed meanwhile.
+    /// The sidecar was killed or its application stopped meanwhile.
     Excused,
 }
 
-/// What the emulator knows of a refusal at its moment.
+/// Whether a server could have served a rejected request, as the emulator knows at the time of the rejection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Regret {
-    /// A server in service had a core free and would have been in time.
+    /// A server in service had a free core and would have answered in time.
     CoreIdle,
-    /// A server in service would have been in time beside its other work.
+    /// A server in service would have answered in time beside its other work.
     WouldFit,
-    /// None would have been in time.
+    /// No server in service would have answered in time.
     Full,
-    /// None was in service.
+    /// No server was in service.
     Nobody,
 }
 
-/// One try of a flow: a request of its own to the sidecar.
+/// One try of a flow: one request of the client to the sidecar.
 #[derive(Clone, Debug, Serialize)]
 pub struct Try {
-    /// Its `Request-Id`.
+    /// The `Request-Id`.
     pub id: u64,
-    /// The flow: the number of its arrival.
+    /// The flow: the number of the arrival.
     pub flow: usize,
-    /// Its number in the flow.
+    /// The number of the try within the flow, from 0.
     pub number: usize,
-    /// When it was written whole (ms); the connection's attempt where that failed.
+    /// When the client obtained a connection permit, or gave up waiting for one (ms).
     pub sent: f64,
-    /// When its client gives it up (ms).
+    /// When the client gives it up (ms).
     pub until: f64,
-    /// Its attempts.
+    /// The attempts that servers received for it.
     pub attempts: Vec<Attempt>,
-    /// When it ended (ms).
+    /// When it ended (ms); NaN while open.
     pub ended: f64,
-    /// How.
+    /// How it ended.
     pub end: TryEnd,
-    /// Whether a refusal is to be regretted.
+    /// For a rejected try: whether a server could have served it.
     pub regret: Option<Regret>,
-    /// Whether it was written whole to a sidecar that ran.
+    /// Whether the request was written completely to the sidecar.
     pub taken: bool,
+    /// The response bodies that servers produced for it.
     #[serde(skip)]
     pub(super) bodies: Vec<Bytes>,
 }
 
-/// The zone and cell of a server, which decide where a repeat of keyed work is dropped.
+/// The zone and cell of a server, which determine whether a repeat of keyed work is deduplicated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Place {
-    /// Its zone.
+    /// The zone.
     pub zone: usize,
-    /// Its cell.
+    /// The cell.
     pub cell: u64,
 }
 
 impl Try {
-    /// Adds an open attempt at a server, whose first byte came at this time (ms).
+    /// Adds an open attempt at a server that received its first byte at `came` (ms).
     pub(super) fn open_attempt(&mut self, server: usize, came: f64) {
         let second_copy = self.attempts.iter().any(|a| a.end == AttemptEnd::Open);
         let end = AttemptEnd::Open;
--- a/crates/emulator/src/client/connections.rs
+++ b/crates/emulator/src/client/connections.rs
@@ -1,44 +1,46 @@
-//! The connection pools of the applications to their sidecars.
+//! Connection pools of the applications to their sidecars.
 
 use crate::http::Wire;
 use std::cell::RefCell;
 use tokio::sync::Semaphore;
 
-/// Clients use at most one of so many descriptors of a sidecar for their requests.
-const CLIENT_SHARE: usize = 3;
+/// Clients send at most one concurrent request per this many descriptors of a sidecar.
+const DESCRIPTORS_PER_CLIENT_REQUEST: usize = 3;
 
-/// Idle connections by sidecar, and the permits that limit concurrent requests.
+/// The idle connections to each sidecar and the permits that limit concurrent requests.
 pub(super) struct Connections<S> {
-    free: RefCell<Vec<Vec<Wire<S>>>>,
-    places: Vec<Semaphore>,
+    idle: RefCell<Vec<Vec<Wire<S>>>>,
+    permits: Vec<Semaphore>,
 }
 
 impl<S> Connections<S> {
-    /// Creates empty pools for so many sidecars with so many descriptors each.
+    /// Creates empty pools for `sidecars` sidecars with `descriptors` descriptors each.
     pub(super) fn new(sidecars: usize, descriptors: usize) -> Connections<S> {
         Connections {
-            free: RefCell::new((0..sidecars).map(|_| Vec::new()).collect()),
-            places: (0..sidecars).map(|_| Semaphore::new(descriptors / CLIENT_SHARE)).collect(),
+            idle: RefCell::new((0..sidecars).map(|_| Vec::new()).collect()),
+            permits: (0..sidecars)
+                .map(|_| Semaphore::new(descriptors / DESCRIPTORS_PER_CLIENT_REQUEST))
+                .collect(),
         }
     }
 
     /// The permits for concurrent requests to a sidecar.
-    pub(super) fn places(&self, sidecar: usize) -> &Semaphore {
-        &self.places[sidecar]
+    pub(super) fn permits(&self, sidecar: usize) -> &Semaphore {
+        &self.permits[sidecar]
     }
 
-    /// Takes an idle connection, the last used first.
-    pub(super) fn take(&self, sidecar: usize) -> Option<Wire<S>> {
-        self.free.borrow_mut()[sidecar].pop()
+    /// Takes the most recently used idle connection.
+    pub(super) fn take_idle(&self, sidecar: usize) -> Option<Wire<S>> {
+        self.idle.borrow_mut()[sidecar].pop()
     }
 
-    /// Returns a connection to the pool.
-    pub(super) fn keep(&self, sidecar: usize, wire: Wire<S>) {
-        self.free.borrow_mut()[sidecar].push(wire);
+    /// Returns a connection to the pool of its sidecar.
+    pub(super) fn return_idle(&self, sidecar: usize, wire: Wire<S>) {
+        self.idle.borrow_mut()[sidecar].push(wire);
     }
 
     /// Closes the idle connections to a sidecar.
-    pub(super) fn close(&self, sidecar: usize) {
-        self.free.borrow_mut()[sidecar].clear();
+    pub(super) fn close_idle(&self, sidecar: usize) {
+        self.idle.borrow_mut()[sidecar].clear();
     }
 }
--- a/crates/emulator/src/client/mod.rs
+++ b/crates/emulator/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! Clients: open-loop load from the applications beside the sidecars, with retries and oracles on responses.
+//! Clients: open-loop load from the applications beside the sidecars, with retries and checks of the responses.
 
 mod connections;
 mod exchange;
@@ -17,18 +17,22 @@
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
-/// Time that must be left before the deadline for another try (ms).
-const LEAST: f64 = 20.0;
-/// Number of request tasks above which finished ones are removed from the list.
-const OPEN_TASKS: usize = 4096;
+/// Time that must remain before the deadline for another try (ms).
+const MIN_TRY_TIME_MS: f64 = 20.0;
+/// Number of tracked flow tasks above which finished ones are removed from the list.
+const MAX_TRACKED_TASKS: usize = 4096;
+/// Key of the draws of whether a client honours `Retry-After`. Changing it changes the results of every seed.
+const DRAW_HONOURS_RETRY_AFTER: u64 = 21;
+/// Key of the draws of the `Request-Id`s. Changing it changes the results of every seed.
+const DRAW_REQUEST_ID: u64 = 22;
 
-/// The clients of a scenario, with their idle connections.
+/// The clients of a scenario and their connection pools.
 pub struct Clients<F: Fabric> {
     environment: Rc<Environment<F>>,
     applications: Rc<Applications>,
     members: Rc<Members>,
     connections: Connections<F::Stream>,
-    unasked: RefCell<BTreeSet<usize>>,
+    unsent: RefCell<BTreeSet<usize>>,
 }
 
 impl<F: Fabric> Clients<F> {
@@ -39,60 +43,61 @@
         members: Rc<Members>,
     ) -> Rc<Clients<F>> {
         let schedule = &environment.schedule;
-        let connections = Connections::new(schedule.sidecars.len(), schedule.day.limits.sockets);
-        Rc::new(Clients { environment, applications, members, connections, unasked: RefCell::default() })
+        let connections = Connections::new(schedule.sidecars.len(), schedule.scenario.limits.sockets);
+        Rc::new(Clients { environment, applications, members, connections, unsent: RefCell::default() })
     }
 
-    /// Arrivals that were never sent, as their application was down.
-    pub fn unasked(&self) -> Ref<'_, BTreeSet<usize>> {
-        self.unasked.borrow()
+    /// The flows that were never sent, as their application was down at their arrival.
+    pub fn unsent(&self) -> Ref<'_, BTreeSet<usize>> {
+        self.unsent.borrow()
     }
 
     /// Closes the idle connections to a sidecar.
-    pub fn close(&self, sidecar: usize) {
-        self.connections.close(sidecar);
+    pub fn close_idle(&self, sidecar: usize) {
+        self.connections.close_idle(sidecar);
     }
 
-    /// Sends every scheduled request at its time; returns when the last one has ended.
-    pub async fn ask(self: Rc<Self>) {
-        let mut open = Vec::new();
+    /// Starts every scheduled flow at its arrival time; returns when the last one has ended.
+    pub async fn run(self: Rc<Self>) {
+        let mut tasks = Vec::new();
         let clock = &self.environment.clock;
         for (flow, arrival) in self.environment.schedule.arrivals.iter().enumerate() {
-            clock.until(clock.day_at(arrival.at)).await;
-            // The application stops with its sidecar and sends nothing while it is down.
-            if !self.applications.asks(arrival.sidecar) {
-                self.unasked.borrow_mut().insert(flow);
+            clock.sleep_until(clock.simulation_time(arrival.at)).await;
+            // An application stops with its sidecar and sends nothing while it is down.
+            if !self.applications.is_sending(arrival.sidecar) {
+                self.unsent.borrow_mut().insert(flow);
                 continue;
             }
-            open.push(spawn_local(self.clone().follow(flow)));
-            if open.len() > OPEN_TASKS {
-                open.retain(|task| !task.is_finished());
+            tasks.push(spawn_local(self.clone().run_flow(flow)));
+            if tasks.len() > MAX_TRACKED_TASKS {
+                tasks.retain(|task| !task.is_finished());
             }
         }
-        for task in open {
+        for task in tasks {
             let _ = task.await;
         }
     }
 
-    /// One request with all its tries.
-    async fn follow(self: Rc<Self>, flow: usize) {
+    /// Runs one flow with all its tries.
+    async fn run_flow(self: Rc<Self>, flow: usize) {
         let (schedule, clock) = (&self.environment.schedule, &self.environment.clock);
         let arrival = &schedule.arrivals[flow];
         let class = schedule.class(arrival);
-        let begun = clock.now();
-        let honours = hashed(schedule.seed, &[21, flow as u64]) < schedule.clients.honour;
+        let arrived_at = clock.now();
+        let honours_retry_after =
+            hashed(schedule.seed, &[DRAW_HONOURS_RETRY_AFTER, flow as u64]) < schedule.clients.honour;
         for number in 0..=schedule.clients.retries {
-            let left = begun + class.deadline_ms - clock.now();
-            if left < LEAST {
+            let left = arrived_at + class.deadline_ms - clock.now();
+            if left < MIN_TRY_TIME_MS {
                 return;
             }
-            let patience = left.min(class.deadline_ms * schedule.clients.try_share);
-            let end = self.attempt(flow, number, patience).await;
-            if !may_retry(end, class.effect) || !self.applications.asks(arrival.sidecar) {
+            let timeout = left.min(class.deadline_ms * schedule.clients.try_share);
+            let end = self.run_try(flow, number, timeout).await;
+            if !may_retry(end, class.effect) || !self.applications.is_sending(arrival.sidecar) {
                 return;
             }
             let wait = match end {
-                TryEnd::Refused(advice) if honours && advice > 0.0 => advice,
+                TryEnd::Refused(retry_after) if honours_retry_after && retry_after > 0.0 => retry_after,
                 _ => schedule.clients.backoff,
             };
             if wait > 0.0 {
@@ -101,40 +106,42 @@
         }
     }
 
-    /// One try within this time (ms): waits for a connection permit, then sends the request.
-    async fn attempt(&self, flow: usize, number: usize, patience: f64) -> TryEnd {
+    /// Runs one try within `timeout` (ms): waits for a connection permit, then sends the request.
+    async fn run_try(&self, flow: usize, number: usize, timeout: f64) -> TryEnd {
         let (schedule, clock) = (&self.environment.schedule, &self.environment.clock);
         let sidecar = schedule.arrivals[flow].sidecar;
-        // When every connection is busy and the places are taken, a request waits at its client; that time is
-        // the client's own.
-        let until = clock.now() + patience;
-        let place = self.connections.places(sidecar).acquire();
-        let place = tokio::time::timeout_at(clock.instant(until - LEAST), place).await;
-        let id = (hashed(schedule.seed, &[22, flow as u64, number as u64]) * (1_u64 << 53) as f64) as u64;
-        let at = self.environment.accounting.borrow_mut().begin(id, flow, number, clock.now(), until);
-        let (end, regret) = match place {
-            Ok(Ok(_place)) => Exchange::new(self, flow, id, at, until).run().await,
+        // While all permits are taken, the request waits at its client. The sidecar has not seen it yet, so this
+        // wait counts against the client only.
+        let until = clock.now() + timeout;
+        let permit = self.connections.permits(sidecar).acquire();
+        let permit = tokio::time::timeout_at(clock.instant(until - MIN_TRY_TIME_MS), permit).await;
+        let id = (hashed(schedule.seed, &[DRAW_REQUEST_ID, flow as u64, number as u64])
+            * (1_u64 << 53) as f64) as u64;
+        let try_index =
+            self.environment.accounting.borrow_mut().record_try(id, flow, number, clock.now(), until);
+        let (end, regret) = match permit {
+            Ok(Ok(_permit)) => Exchange::new(self, flow, id, try_index, until).run().await,
             _ => (TryEnd::NoConnection, None),
         };
-        self.environment.accounting.borrow_mut().end(clock.now(), at, end, regret);
+        self.environment.accounting.borrow_mut().record_try_end(clock.now(), try_index, end, regret);
         end
     }
 
-    /// Whether a server could serve in time a request that is rejected now.
+    /// Whether a server could have served in time a flow that is rejected now.
     fn regret(&self, flow: usize) -> Regret {
         let (schedule, clock) = (&self.environment.schedule, &self.environment.clock);
         let (now, arrival) = (clock.now(), &schedule.arrivals[flow]);
-        let left = schedule.class(arrival).aim_ms - (now - clock.day_at(arrival.at));
+        let left = schedule.class(arrival).aim_ms - (now - clock.simulation_time(arrival.at));
         self.members.regret(now, arrival.work, left)
     }
 }
 
-/// Whether a client retries after a try that ended so.
+/// Whether a client may retry after a try that ended like this.
 fn may_retry(end: TryEnd, effect: Effect) -> bool {
     match end {
         TryEnd::Served | TryEnd::Excused | TryEnd::Open => false,
         TryEnd::Refused(_) | TryEnd::NoConnection => true,
-        // It may have run at a server.
+        // It may have run at a server, so only safe requests are repeated.
         TryEnd::Failed(_) | TryEnd::Nothing => effect == Effect::Safe,
     }
 }
--- a/crates/emulator/src/clock.rs
+++ b/crates/emulator/src/clock.rs
@@ -4,37 +4,38 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Tells the time of a simulation and waits for it. All times are in ms.
+/// The clock of a simulation. All times are in ms.
 #[derive(Debug)]
 pub struct Clock {
     origin: Instant,
     epoch: f64,
-    day_start: Cell<f64>,
+    scenario_start: Cell<f64>,
 }
 
 impl Clock {
-    /// A clock that begins now; `epoch` is the Unix time (ms) that it shows at its beginning.
+    /// Creates a clock that starts now; `epoch` is the Unix time (ms) that it shows at its start.
     pub fn new(epoch: f64) -> Clock {
-        Clock { origin: Instant::now(), epoch, day_start: Cell::new(0.0) }
+        Clock { origin: Instant::now(), epoch, scenario_start: Cell::new(0.0) }
     }
 
-    /// The time since the simulation began.
+    /// The time since the start of the simulation.
     pub fn now(&self) -> f64 {
         self.origin.elapsed().as_secs_f64() * 1e3
     }
 
-    /// The Unix time that it shows now.
+    /// The current Unix time of the simulation.
     pub fn unix_now(&self) -> f64 {
         self.epoch + self.now()
     }
 
-    /// Converts a time to the runtime's clock, rounded up by 10 ns so that the time has passed after a wait.
+    /// Converts a time to an instant of the runtime. Adds 10 ns, so that the time has passed after a wait
+    /// despite rounding.
     pub fn instant(&self, at: f64) -> Instant {
         self.origin + Duration::from_secs_f64(at.clamp(0.0, 1e10) / 1e3 + 1e-8)
     }
 
-    /// Waits until a time; never returns where it is infinite.
-    pub async fn until(&self, at: f64) {
+    /// Waits until a time; never returns for an infinite one.
+    pub async fn sleep_until(&self, at: f64) {
         if at.is_infinite() {
             return std::future::pending().await;
         }
@@ -43,21 +44,21 @@
 
     /// Waits for a duration.
     pub async fn sleep(&self, millis: f64) {
-        self.until(self.now() + millis).await;
+        self.sleep_until(self.now() + millis).await;
     }
 
-    /// Sets the time at which the scenario begins.
-    pub fn begin_day(&self, at: f64) {
-        self.day_start.set(at);
+    /// Sets the time at which the scenario starts.
+    pub fn start_scenario(&self, at: f64) {
+        self.scenario_start.set(at);
     }
 
-    /// When the scenario began.
-    pub fn day_start(&self) -> f64 {
-        self.day_start.get()
+    /// The time at which the scenario started.
+    pub fn scenario_start(&self) -> f64 {
+        self.scenario_start.get()
     }
 
-    /// Converts a time since the scenario's begin to a time since the simulation's start.
-    pub fn day_at(&self, at: f64) -> f64 {
-        self.day_start.get() + at
+    /// Converts a time since the start of the scenario to a time since the start of the simulation.
+    pub fn simulation_time(&self, at: f64) -> f64 {
+        self.scenario_start.get() + at
     }
 }
--- a/crates/emulator/src/corruption.rs
+++ b/crates/emulator/src/corruption.rs
@@ -1,32 +1,32 @@
-//! Corrupted responses of servers: malformed ones, and valid ones with extra bytes around them.
+//! Corrupted server responses: malformed ones, and valid ones with additional bytes or a broken report.
 
 use crate::http::answer_bytes;
 
 /// A kind of corruption. The names are keys of `result.json`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Corruption {
-    /// Noise.
+    /// Bytes that are not HTTP.
     Noise,
-    /// A head that does not end.
+    /// A response head that never ends.
     EndlessHead,
-    /// A length that is none.
+    /// A negative `content-length`.
     BadLength,
-    /// Two lengths that differ.
+    /// Two different `content-length` headers.
     TwoLengths,
-    /// 3 GB, said and begun.
+    /// A `content-length` of 3 GB, followed by only the first 16 KiB of the body.
     Huge,
-    /// Good, and the same once more right behind.
+    /// A valid response, sent twice.
     Twice,
-    /// Good, and noise right behind.
+    /// A valid response, followed by bytes that are not HTTP.
     NoiseBehind,
-    /// Good, with a load report that can't be read.
+    /// A valid response with a malformed load report.
     BadReport,
-    /// Good, with 1xx answers in front.
+    /// A valid response after interim (1xx) responses.
     Informed,
 }
 
-/// All kinds, in the order in which they are drawn.
-pub const ALL: [Corruption; 9] = [
+/// All kinds; a draw selects one by its index, so the order must not change.
+pub const ALL_CORRUPTIONS: [Corruption; 9] = [
     Corruption::Noise,
     Corruption::EndlessHead,
     Corruption::BadLength,
@@ -49,7 +49,7 @@
 
     /// The bytes to send instead of a response with this body.
     pub fn bytes(self, body: &[u8]) -> Vec<u8> {
-        let good = answer_bytes(200, &[], body);
+        let valid = answer_bytes(200, &[], body);
         match self {
             Corruption::Noise => b"\0\x01\x02 noise \xff\xfe\r\n\r\n".to_vec(),
             Corruption::EndlessHead => b"HTTP/1.1 200 OK\r\nx-filler: aaaaaaaaaaaaaaaa\r\n".to_vec(),
@@ -62,15 +62,15 @@
                 bytes.extend(std::iter::repeat_n(b'x', 16 * 1024));
                 bytes
             }
-            Corruption::Twice => [good.clone(), good].concat(),
-            Corruption::NoiseBehind => [good, b"\0\x01noise\r\n\r\n".to_vec()].concat(),
+            Corruption::Twice => [valid.clone(), valid].concat(),
+            Corruption::NoiseBehind => [valid, b"\0\x01noise\r\n\r\n".to_vec()].concat(),
             Corruption::BadReport => {
                 answer_bytes(200, &[("server-load", "TEXT inflight=,queue=-nan,%%".into())], body)
             }
             Corruption::Informed => {
-                let informed =
+                let interim =
                     b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nlink: </x>\r\n\r\n".to_vec();
-                [informed, good].concat()
+                [interim, valid].concat()
             }
         }
     }
--- a/crates/emulator/src/discovery/registry.rs
+++ b/crates/emulator/src/discovery/registry.rs
@@ -13,13 +13,13 @@
     InService,
     /// Draining: it finishes the requests that it holds.
     Terminating,
-    /// Gone; appears only in change notifications, never in a whole list.
+    /// Gone; appears only among the changes of a watch, never in a complete list.
     Terminated,
 }
 
 impl ListedStatus {
     /// Its name on the wire.
-    pub(super) fn word(self) -> &'static str {
+    pub(super) fn wire_name(self) -> &'static str {
         match self {
             ListedStatus::InService => "in_service",
             ListedStatus::Terminating => "terminating",
@@ -33,8 +33,9 @@
 pub(super) struct Entry {
     pub(super) server: usize,
     pub(super) status: ListedStatus,
-    /// Unix time (ms) of its last start; 0 for long ago.
+    /// Unix time (ms) of the last start; 0 if the server was running before the simulation.
     pub(super) up_since: f64,
+    /// The revision of the last change.
     pub(super) revision: u64,
 }
 
@@ -43,7 +44,7 @@
 pub struct ServiceState {
     /// Whether it accepts connections.
     pub runs: bool,
-    /// How often it has moved to another address.
+    /// The number of moves to another address so far.
     pub moves: usize,
 }
 
@@ -52,9 +53,9 @@
 pub struct Registry {
     pub(super) entries: RefCell<BTreeMap<usize, Entry>>,
     pub(super) revision: watch::Sender<u64>,
-    /// Announcements made so far for each server, and the last one that took effect.
-    order: RefCell<BTreeMap<usize, (u64, u64)>>,
-    /// Whether the service runs, and where.
+    /// By server: the number of announcements so far and the number of the last one applied.
+    announcements: RefCell<BTreeMap<usize, (u64, u64)>>,
+    /// Whether the service runs, and at which address.
     pub state: watch::Sender<ServiceState>,
 }
 
@@ -63,15 +64,15 @@
         Registry {
             entries: RefCell::default(),
             revision: watch::channel(1).0,
-            order: RefCell::default(),
+            announcements: RefCell::default(),
             state: watch::channel(ServiceState { runs: true, moves: 0 }).0,
         }
     }
 }
 
 impl Registry {
-    /// Lists the servers that a simulation begins with as in service, at revision 1.
-    pub fn begin(&self, members: &[Rc<Member>]) {
+    /// Lists the initial servers as in service, at revision 1.
+    pub fn list_initial(&self, members: &[Rc<Member>]) {
         for member in members {
             let entry =
                 Entry { server: member.number, status: ListedStatus::InService, up_since: 0.0, revision: 1 };
@@ -79,21 +80,22 @@
         }
     }
 
-    /// Counts an announcement of a server's status; the returned number orders it in [`Registry::apply`].
+    /// Registers an announcement of a server's status; returns its number, by which [`Registry::apply`] orders
+    /// the announcements of a server.
     pub fn announce(&self, server: usize) -> u64 {
-        let mut order = self.order.borrow_mut();
-        let (made, _) = order.entry(server).or_default();
-        *made += 1;
-        *made
+        let mut announcements = self.announcements.borrow_mut();
+        let (announced, _) = announcements.entry(server).or_default();
+        *announced += 1;
+        *announced
     }
 
-    /// Applies an announcement, unless a later one of that server has been applied; returns whether it was.
-    /// `up_since` is the Unix time (ms) of the server's start and counts only with
-    /// [`ListedStatus::InService`].
+    /// Applies an announcement unless a later one of that server was applied before; returns whether it was
+    /// applied.
+    /// `up_since`, the Unix time (ms) of the server's start, is used only for [`ListedStatus::InService`].
     pub fn apply(&self, server: usize, number: u64, status: ListedStatus, up_since: f64) -> bool {
         {
-            let mut order = self.order.borrow_mut();
-            let (_, applied) = order.entry(server).or_default();
+            let mut announcements = self.announcements.borrow_mut();
+            let (_, applied) = announcements.entry(server).or_default();
             if *applied >= number {
                 return false;
             }
--- a/crates/emulator/src/fabric.rs
+++ b/crates/emulator/src/fabric.rs
@@ -1,4 +1,4 @@
-//! The network abstraction: sockets on the loopback network, or pipes in memory ([`crate::memory`]).
+//! The network abstraction: loopback sockets or in-memory pipes ([`crate::memory`]).
 
 use std::future::Future;
 use std::io;
@@ -8,30 +8,30 @@
 
 /// A network on which the parties of a simulation listen and connect.
 pub trait Fabric: Clone + 'static {
-    /// A stream.
+    /// A bidirectional byte stream.
     type Stream: AsyncRead + AsyncWrite + Unpin + 'static;
-    /// A listener; dropping it closes it.
+    /// A listener, closed when dropped.
     type Listener: 'static;
-    /// Keeps connects to an address hanging until it is dropped.
-    type Mute: 'static;
+    /// A guard that makes connects to an address hang until it is dropped.
+    type ConnectBlock: 'static;
 
-    /// Listens at an address; the error is `AddrInUse` where somebody does.
+    /// Listens at an address; fails with `AddrInUse` if there is a listener already.
     fn bind(&self, address: SocketAddr) -> impl Future<Output = io::Result<Self::Listener>>;
-    /// Waits for the next stream of a listener.
+    /// Accepts the next stream of a listener.
     fn accept(&self, listener: &Self::Listener) -> impl Future<Output = io::Result<Self::Stream>>;
     /// Opens a stream to an address.
     fn connect(&self, address: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>>;
-    /// Resets a stream.
+    /// Closes a stream with a reset.
     fn reset(&self, stream: Self::Stream);
     /// Makes connects to an address without a listener hang instead of being refused.
-    fn mute(&self, address: SocketAddr) -> impl Future<Output = io::Result<Self::Mute>>;
+    fn block_connects(&self, address: SocketAddr) -> impl Future<Output = io::Result<Self::ConnectBlock>>;
 }
 
-/// The system's sockets on 127.0.0.0/8.
+/// The sockets of the operating system, on 127.0.0.0/8.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Loopback;
 
-fn socket(address: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
+fn listen(address: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
@@ -41,10 +41,10 @@
 impl Fabric for Loopback {
     type Stream = TcpStream;
     type Listener = TcpListener;
-    type Mute = (TcpListener, Vec<TcpStream>);
+    type ConnectBlock = (TcpListener, Vec<TcpStream>);
 
     async fn bind(&self, address: SocketAddr) -> io::Result<TcpListener> {
-        socket(address, 1024)
+        listen(address, 1024)
     }
 
     async fn accept(&self, listener: &TcpListener) -> io::Result<TcpStream> {
@@ -60,22 +60,24 @@
     }
 
     fn reset(&self, stream: TcpStream) {
-        // With no time to linger, a close is a reset. Where that can't be set, it ends all the same.
+        // With a linger time of 0, closing the socket sends a reset. If the option cannot be set, the socket is
+        // closed normally.
         let _ = stream.set_zero_linger();
     }
 
-    /// Fills the backlog of a listener, which answers no further SYN: connects hang as in a partition.
-    async fn mute(&self, address: SocketAddr) -> io::Result<Self::Mute> {
-        let listener = socket(address, 0)?;
-        let mut fillers = Vec::new();
-        while let Ok(filler) =
+    /// Fills the backlog of a listener, so that the kernel does not answer further SYNs: connects hang as in a
+    /// network partition.
+    async fn block_connects(&self, address: SocketAddr) -> io::Result<Self::ConnectBlock> {
+        let listener = listen(address, 0)?;
+        let mut pending = Vec::new();
+        while let Ok(connection) =
             tokio::time::timeout(std::time::Duration::from_millis(20), TcpStream::connect(address)).await
         {
-            fillers.push(filler?);
-            if fillers.len() > 4 {
+            pending.push(connection?);
+            if pending.len() > 4 {
                 break;
             }
         }
-        Ok((listener, fillers))
+        Ok((listener, pending))
     }
 }
--- a/crates/emulator/src/fleet/mod.rs
+++ b/crates/emulator/src/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! The HTTP/1.1 side of the config servers: listeners and connections around the models of [`crate::server`].
+//! The emulated config servers on the network: HTTP/1.1 listeners and connections for the models of
+//! [`crate::server`].
 
 mod connection;
 mod member;
@@ -12,7 +13,7 @@
 use crate::environment::Environment;
 use crate::fabric::Fabric;
 use crate::scenario::FaultKind;
-use crate::schedule::{factor, hashed};
+use crate::schedule::{hashed, lognormal_factor};
 use connection::Connection;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -20,87 +21,91 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// Interval of attempts to bind an address that is still in use.
-const BIND_AGAIN: Duration = Duration::from_millis(20);
+/// Retry interval for binding an address that is still in use.
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+/// Key of the draws of network delays. Changing it changes the results of every seed.
+const DRAW_NETWORK_DELAY: u64 = 42;
 
-/// The listeners of all servers, with the network delays to them.
+/// The listeners of all servers and the network delays to them.
 pub struct Fleet<F: Fabric> {
     environment: Rc<Environment<F>>,
-    draws: Cell<u64>,
+    draw_count: Cell<u64>,
 }
 
 impl<F: Fabric> Fleet<F> {
-    /// Creates a fleet without listeners.
+    /// Creates a fleet that does not listen yet.
     pub fn new(environment: Rc<Environment<F>>) -> Rc<Fleet<F>> {
-        Rc::new(Fleet { environment, draws: Cell::new(0) })
+        Rc::new(Fleet { environment, draw_count: Cell::new(0) })
     }
 
-    /// The number of the next draw, counted from 1 over the whole simulation.
+    /// The number of the next draw, counted from 1 over the simulation.
     pub fn next_draw(&self) -> u64 {
-        self.draws.set(self.draws.get() + 1);
-        self.draws.get()
+        self.draw_count.set(self.draw_count.get() + 1);
+        self.draw_count.get()
     }
 
     /// Draws a one-way network delay between a sidecar and a server (ms).
-    fn one_way(&self, sidecar: usize, member: &Member) -> f64 {
+    fn draw_one_way_delay(&self, sidecar: usize, member: &Member) -> f64 {
         let schedule = &self.environment.schedule;
         let network = schedule.network;
-        let near = schedule.sidecars[sidecar].zone == member.model.borrow().plan.zone;
-        let draw = hashed(schedule.seed, &[42, self.next_draw()]);
-        (if near { network.same_zone } else { network.cross_zone }) * factor(network.jitter, draw)
+        let same_zone = schedule.sidecars[sidecar].zone == member.model.borrow().plan.zone;
+        let draw = hashed(schedule.seed, &[DRAW_NETWORK_DELAY, self.next_draw()]);
+        (if same_zone { network.same_zone } else { network.cross_zone })
+            * lognormal_factor(network.jitter, draw)
     }
 
-    /// The share of the responses that is corrupted at this time.
+    /// The share of responses that is corrupted now.
     fn corrupted_share(&self) -> f64 {
         let clock = &self.environment.clock;
-        let active = self.environment.schedule.active(FaultKind::Garble, clock.now() - clock.day_start());
+        let active =
+            self.environment.schedule.active(FaultKind::Garble, clock.now() - clock.scenario_start());
         active.map(|t| t.part).sum()
     }
 
-    /// Starts the tasks of a server: its model, and one listener for each sidecar.
+    /// Starts the tasks of a server: its model and one listener per sidecar.
     pub fn serve(self: &Rc<Self>, member: &Rc<Member>) {
-        spawn_local(self.clone().keep_going(member.clone()));
+        spawn_local(self.clone().run_model(member.clone()));
         for sidecar in 0..self.environment.schedule.sidecars.len() {
             spawn_local(self.clone().listen(member.clone(), sidecar));
         }
     }
 
-    /// Advances a server's model whenever something is due in it.
-    async fn keep_going(self: Rc<Self>, member: Rc<Member>) {
+    /// Advances a server's model at each of its events.
+    async fn run_model(self: Rc<Self>, member: Rc<Member>) {
         let clock = &self.environment.clock;
         loop {
-            let next = member.model.borrow().next();
+            let next = member.model.borrow().next_event();
             tokio::select! {
                 biased;
-                () = member.wake.notified() => {}
-                () = clock.until(next) => {}
+                () = member.changed.notified() => {}
+                () = clock.sleep_until(next) => {}
             }
-            member.touch(clock.now());
+            member.advance(clock.now());
         }
     }
 
-    /// Listens for one sidecar at a server's address, as the server's fate allows.
+    /// Listens for one sidecar at a server's address, following the server's reachability.
     async fn listen(self: Rc<Self>, member: Rc<Member>, sidecar: usize) {
         let fabric = &self.environment.fabric;
-        let address = self.environment.addresses.server(sidecar, member.place);
+        let address = self.environment.addresses.server(sidecar, member.address_index);
         let mut reachability = member.reachability.subscribe();
         loop {
             let now = *reachability.borrow_and_update();
             match now {
                 Reachability::Up(_) => match fabric.bind(address).await {
                     Ok(listener) => self.accept(&listener, &mut reachability, &member, sidecar).await,
-                    Err(_) => tokio::time::sleep(BIND_AGAIN).await,
+                    Err(_) => tokio::time::sleep(BIND_RETRY_INTERVAL).await,
                 },
                 Reachability::Down => drop(reachability.changed().await),
                 Reachability::Cut => {
-                    let _mute = fabric.mute(address).await;
+                    let _block = fabric.block_connects(address).await;
                     let _ = reachability.changed().await;
                 }
             }
         }
     }
 
-    /// Accepts connections until the server's fate changes.
+    /// Accepts connections until the server's reachability changes.
     async fn accept(
         self: &Rc<Self>,
         listener: &F::Listener,
--- a/crates/emulator/src/fleet/probes.rs
+++ b/crates/emulator/src/fleet/probes.rs
@@ -1,4 +1,4 @@
-//! Load and health probes of a server.
+//! Load and health probes of servers.
 
 use super::connection::Connection;
 use crate::fabric::Fabric;
@@ -7,17 +7,17 @@
 use crate::server::Job;
 
 impl<F: Fabric> Connection<F> {
-    /// Answers a probe, for the load (`stats`) or the health; false where the connection ends.
-    pub(super) async fn probe(&self, wire: &mut Wire<F::Stream>, way: f64, stats: bool) -> bool {
+    /// Answers a load probe (`stats`) or a health probe; returns false if the connection must be closed.
+    pub(super) async fn answer_probe(&self, wire: &mut Wire<F::Stream>, one_way: f64, stats: bool) -> bool {
         let (environment, member) = (self.environment(), &self.member);
         *environment.accounting.borrow_mut().probes.entry(member.number).or_default() += 1;
-        if !environment.schedule.day.limits.probes {
+        if !environment.schedule.scenario.limits.probes {
             return wire.write(&answer_bytes(404, &[], b"")).await.is_ok();
         }
-        let full = self.work_on_probe().await;
+        let over_limit = self.run_probe().await;
         let text = member.report(environment.clock.now(), environment.schedule.seed);
-        environment.clock.sleep(way).await;
-        let answer = match (full, stats) {
+        environment.clock.sleep(one_way).await;
+        let answer = match (over_limit, stats) {
             (true, _) => answer_bytes(503, &[], b""),
             (false, true) => answer_bytes(200, &[], text.as_bytes()),
             (false, false) => answer_bytes(200, &[], b"ok"),
@@ -25,28 +25,28 @@
         wire.write(&answer).await.is_ok()
     }
 
-    /// Does the work of a probe; true where the limit of concurrent probes is exceeded.
-    async fn work_on_probe(&self) -> bool {
+    /// Does the work of a probe; returns true if the limit of concurrent probes is exceeded.
+    async fn run_probe(&self) -> bool {
         let (clock, member) = (&self.environment().clock, &self.member);
-        let Probes { work, limit, queued } = member.model.borrow().plan.probe;
-        let full = member.with(clock.now(), |m| {
-            m.probing += 1;
-            m.chore(work);
-            m.probing > limit
+        let Probes { work, limit, queued } = member.model.borrow().plan.probes;
+        let over_limit = member.update(clock.now(), |m| {
+            m.open_probes += 1;
+            m.add_background_work(work);
+            m.open_probes > limit
         });
-        if queued && !full {
-            let begun = member.begin(clock.now(), |id| Job { id, work, key: None, error: false });
-            if let Ok((_, done)) = begun {
+        if queued && !over_limit {
+            let offered = member.offer(clock.now(), |id| Job { id, work, key: None, error: false });
+            if let Ok((_, done)) = offered {
                 let _ = done.await;
             }
         } else {
-            // It runs beside the queue, but not while the whole machine stands still.
-            let paused = member.model.borrow().next();
-            if member.model.borrow().paused() {
-                clock.until(paused).await;
+            // The probe bypasses the queue but still waits for the end of a pause of the server.
+            let pause_end = member.model.borrow().next_event();
+            if member.model.borrow().is_paused() {
+                clock.sleep_until(pause_end).await;
             }
         }
-        member.with(clock.now(), |m| m.probing -= 1);
-        full
+        member.update(clock.now(), |m| m.open_probes -= 1);
+        over_limit
     }
 }
--- a/crates/emulator/src/http.rs
+++ b/crates/emulator/src/http.rs
@@ -1,96 +1,98 @@
-//! The subset of HTTP/1.1 (RFC 9112) that the emulator needs, with control of every byte: it must be able to
-//! send malformed messages and to see where a response ends.
+//! The subset of HTTP/1.1 (RFC 9112) that the emulator needs.
+//!
+//! It controls every byte on the stream, as the emulator sends malformed messages and must see where a
+//! response ends.
 
 use bytes::{Bytes, BytesMut};
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// Longest message head that is read (bytes).
-const HEAD: usize = 64 * 1024;
-/// Most headers of a message that are read.
-const HEADERS: usize = 64;
+/// Maximum size of a message head.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
+/// Maximum number of headers in a message.
+const MAX_HEADERS: usize = 64;
 
-/// Why no message could be read.
+/// Why no message could be read from a stream.
 #[derive(Debug)]
-pub enum Unread {
-    /// The stream ended before a byte came.
+pub enum ReadError {
+    /// The stream ended before the first byte of the message.
     Closed,
-    /// The stream ended or failed inside a message.
+    /// The stream ended or failed within a message.
     Broken,
-    /// The bytes are no HTTP that the emulator reads.
-    Garbled(String),
+    /// The bytes are not valid HTTP, or use a feature that is not supported.
+    Malformed(String),
 }
 
-impl From<io::Error> for Unread {
-    fn from(_: io::Error) -> Unread {
-        Unread::Broken
+impl From<io::Error> for ReadError {
+    fn from(_: io::Error) -> ReadError {
+        ReadError::Broken
     }
 }
 
-/// A request.
+/// An HTTP request.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// The method.
+    /// The request method.
     pub method: String,
-    /// Path and query.
+    /// The path with the query.
     pub path: String,
-    /// Headers, names in lower case.
+    /// The headers, with names in lower case.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Bytes,
 }
 
-/// A response.
+/// An HTTP response.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// Headers, names in lower case.
+    /// The headers, with names in lower case.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Bytes,
 }
 
-fn find<'a>(headers: &'a [(String, String)], name: &str) -> Option<&'a str> {
+fn find_header<'a>(headers: &'a [(String, String)], name: &str) -> Option<&'a str> {
     headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
 }
 
 impl Request {
-    /// A header's value.
+    /// The value of the first header with this name (in lower case).
     pub fn header(&self, name: &str) -> Option<&str> {
-        find(&self.headers, name)
+        find_header(&self.headers, name)
     }
 }
 
 impl Answer {
-    /// A header's value.
+    /// The value of the first header with this name (in lower case).
     pub fn header(&self, name: &str) -> Option<&str> {
-        find(&self.headers, name)
+        find_header(&self.headers, name)
     }
 
-    /// Whether its connection closes after it.
-    pub fn closes(&self) -> bool {
+    /// Whether the connection is closed after the response (`connection: close`).
+    pub fn closes_connection(&self) -> bool {
         self.header("connection").is_some_and(|v| v.eq_ignore_ascii_case("close"))
     }
 }
 
-/// A stream with a read buffer.
+/// A stream with a read buffer, on which HTTP messages are read and written.
 #[derive(Debug)]
 pub struct Wire<S> {
-    /// The stream.
+    /// The underlying stream.
     pub stream: S,
     buffer: BytesMut,
 }
 
-fn collect(headers: &[httparse::Header]) -> Vec<(String, String)> {
+fn owned_headers(headers: &[httparse::Header]) -> Vec<(String, String)> {
     let text = |v: &[u8]| String::from_utf8_lossy(v).into_owned();
     headers.iter().map(|h| (h.name.to_ascii_lowercase(), text(h.value))).collect()
 }
 
-fn length(headers: &[(String, String)]) -> Result<usize, Unread> {
-    match find(headers, "content-length") {
+fn content_length(headers: &[(String, String)]) -> Result<usize, ReadError> {
+    match find_header(headers, "content-length") {
         None => Ok(0),
-        Some(text) => text.trim().parse().map_err(|_| Unread::Garbled(format!("content-length {text}"))),
+        Some(text) => text.trim().parse().map_err(|_| ReadError::Malformed(format!("content-length {text}"))),
     }
 }
 
@@ -100,13 +102,13 @@
         Wire { stream, buffer: BytesMut::new() }
     }
 
-    /// Whether bytes are buffered.
-    pub fn ahead(&self) -> bool {
+    /// Whether the read buffer holds bytes.
+    pub fn has_buffered_data(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Reads more bytes into the buffer; false at the end of the stream. It is safe to cancel.
-    pub async fn more(&mut self) -> io::Result<bool> {
+    /// Reads more bytes into the buffer; returns false at the end of the stream. Cancel-safe.
+    pub async fn fill_buffer(&mut self) -> io::Result<bool> {
         self.buffer.reserve(4096);
         Ok(self.stream.read_buf(&mut self.buffer).await? > 0)
     }
@@ -118,77 +120,79 @@
     }
 
     /// Reads a request.
-    pub async fn request(&mut self) -> Result<Request, Unread> {
+    pub async fn read_request(&mut self) -> Result<Request, ReadError> {
         loop {
-            let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+            let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
             let mut parsed = httparse::Request::new(&mut headers);
             match parsed.parse(&self.buffer) {
-                Err(e) => return Err(Unread::Garbled(e.to_string())),
-                Ok(httparse::Status::Partial) => self.need().await?,
+                Err(e) => return Err(ReadError::Malformed(e.to_string())),
+                Ok(httparse::Status::Partial) => self.read_more_of_head().await?,
                 Ok(httparse::Status::Complete(end)) => {
                     let mut request = Request {
                         method: parsed.method.unwrap_or_default().into(),
                         path: parsed.path.unwrap_or_default().into(),
-                        headers: collect(parsed.headers),
+                        headers: owned_headers(parsed.headers),
                         body: Bytes::new(),
                     };
-                    request.body = self.body(end, length(&request.headers)?).await?;
+                    request.body = self.read_body(end, content_length(&request.headers)?).await?;
                     return Ok(request);
                 }
             }
         }
     }
 
-    /// Reads a response; interim (1xx) responses are skipped.
-    pub async fn answer(&mut self) -> Result<Answer, Unread> {
+    /// Reads a response, skipping interim (1xx) ones.
+    pub async fn read_answer(&mut self) -> Result<Answer, ReadError> {
         loop {
-            let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+            let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
             let mut parsed = httparse::Response::new(&mut headers);
             match parsed.parse(&self.buffer) {
-                Err(e) => return Err(Unread::Garbled(e.to_string())),
-                Ok(httparse::Status::Partial) => self.need().await?,
+                Err(e) => return Err(ReadError::Malformed(e.to_string())),
+                Ok(httparse::Status::Partial) => self.read_more_of_head().await?,
                 Ok(httparse::Status::Complete(end)) => {
                     let status = parsed.code.unwrap_or_default();
-                    let headers = collect(parsed.headers);
+                    let headers = owned_headers(parsed.headers);
                     if (100..200).contains(&status) {
                         drop(self.buffer.split_to(end));
                         continue;
                     }
-                    if find(&headers, "transfer-encoding").is_some() {
-                        return Err(Unread::Garbled("an answer in chunks".into()));
+                    if find_header(&headers, "transfer-encoding").is_some() {
+                        return Err(ReadError::Malformed("chunked response is not supported".into()));
                     }
-                    let body = self.body(end, length(&headers)?).await?;
+                    let body = self.read_body(end, content_length(&headers)?).await?;
                     return Ok(Answer { status, headers, body });
                 }
             }
         }
     }
 
-    async fn need(&mut self) -> Result<(), Unread> {
-        if self.buffer.len() > HEAD {
-            return Err(Unread::Garbled("a head without end".into()));
+    /// Reads more bytes of an incomplete head.
+    async fn read_more_of_head(&mut self) -> Result<(), ReadError> {
+        if self.buffer.len() > MAX_HEAD_BYTES {
+            return Err(ReadError::Malformed(format!("message head exceeds {MAX_HEAD_BYTES} bytes")));
         }
-        let fresh = self.buffer.is_empty();
-        match self.more().await {
+        let was_empty = self.buffer.is_empty();
+        match self.fill_buffer().await {
             Ok(true) => Ok(()),
-            Ok(false) if fresh => Err(Unread::Closed),
-            Err(_) if fresh => Err(Unread::Closed),
-            _ => Err(Unread::Broken),
+            Ok(false) if was_empty => Err(ReadError::Closed),
+            Err(_) if was_empty => Err(ReadError::Closed),
+            _ => Err(ReadError::Broken),
         }
     }
 
-    async fn body(&mut self, head: usize, length: usize) -> Result<Bytes, Unread> {
-        while self.buffer.len() < head + length {
-            if !self.more().await? {
-                return Err(Unread::Broken);
+    /// Removes the parsed head from the buffer and reads the body.
+    async fn read_body(&mut self, head_len: usize, body_len: usize) -> Result<Bytes, ReadError> {
+        while self.buffer.len() < head_len + body_len {
+            if !self.fill_buffer().await? {
+                return Err(ReadError::Broken);
             }
         }
-        drop(self.buffer.split_to(head));
-        Ok(self.buffer.split_to(length).freeze())
+        drop(self.buffer.split_to(head_len));
+        Ok(self.buffer.split_to(body_len).freeze())
     }
 }
 
-/// The bytes of a response.
+/// Encodes a response.
 pub fn answer_bytes(status: u16, headers: &[(&str, String)], body: &[u8]) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
--- a/crates/emulator/src/memory.rs
+++ b/crates/emulator/src/memory.rs
@@ -1,7 +1,7 @@
-//! Streams in memory that behave as TCP's do: data, half closes, resets, refused and silent connects.
+//! In-memory streams with the semantics of TCP: data, half closes, resets, refused and hanging connects.
 //!
-//! They take no time: delays belong to the simulation, so that both fabrics have the same ones. Everything is
-//! in one thread and wakes in the order of the calls, so that equal runs go equal ways.
+//! Transfers take no time: the simulation adds the delays, so that both fabrics have the same ones. All
+//! streams live in one thread and wake their tasks in the order of the calls, so that runs are reproducible.
 
 use crate::fabric::Fabric;
 use bytes::BytesMut;
@@ -15,19 +15,19 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::sync::Notify;
 
-/// Bytes that one direction holds: about what a socket's buffers do.
-pub const BUFFER: usize = 128 * 1024;
+/// Capacity of one direction of a stream, about that of a socket's buffers.
+pub const PIPE_CAPACITY_BYTES: usize = 128 * 1024;
 
-/// One direction.
+/// One direction of a stream.
 #[derive(Debug, Default)]
 struct Pipe {
     buffer: BytesMut,
-    /// No more will be written.
-    ended: bool,
-    /// Nobody reads any more.
-    unread: bool,
-    /// It broke: what is buffered can still be read, then an error comes.
-    broken: bool,
+    /// The writing end was closed.
+    writer_closed: bool,
+    /// The reading end was dropped.
+    reader_closed: bool,
+    /// The stream was reset: buffered bytes can still be read, then reads fail.
+    reset: bool,
     reader: Option<Waker>,
     writer: Option<Waker>,
 }
@@ -38,68 +38,69 @@
     }
 }
 
-/// Counts the streams that somebody holds.
+/// Decrements a counter of live streams when dropped.
 #[derive(Debug)]
-struct Held(Rc<Cell<usize>>);
+struct StreamCount(Rc<Cell<usize>>);
 
-impl Drop for Held {
+impl Drop for StreamCount {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// One end of a stream in memory.
+/// One end of an in-memory stream.
 #[derive(Debug)]
 pub struct MemoryStream {
     incoming: Rc<RefCell<Pipe>>,
     outgoing: Rc<RefCell<Pipe>>,
-    held: Option<Held>,
+    count: Option<StreamCount>,
 }
 
-/// What waits to be read on a stream.
+/// What the next read of a stream would find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Waiting {
-    /// Nothing, and more may come.
-    Nothing,
-    /// Bytes.
-    Bytes,
-    /// The end.
-    End,
+pub enum PeekResult {
+    /// No data yet; more may come.
+    Empty,
+    /// Data is buffered.
+    Data,
+    /// The stream has ended or was reset.
+    Closed,
 }
 
 impl MemoryStream {
-    /// Both ends of a new stream.
+    /// Creates a stream and returns both ends.
     pub fn pair() -> (MemoryStream, MemoryStream) {
-        let (a, b) = (Rc::<RefCell<Pipe>>::default(), Rc::<RefCell<Pipe>>::default());
-        let one = MemoryStream { incoming: a.clone(), outgoing: b.clone(), held: None };
-        (one, MemoryStream { incoming: b, outgoing: a, held: None })
+        let (left, right) = (Rc::<RefCell<Pipe>>::default(), Rc::<RefCell<Pipe>>::default());
+        let first = MemoryStream { incoming: left.clone(), outgoing: right.clone(), count: None };
+        (first, MemoryStream { incoming: right, outgoing: left, count: None })
     }
 
-    /// Counts it on this cell as long as it lives.
-    pub fn counted(mut self, on: &Rc<Cell<usize>>) -> MemoryStream {
-        on.set(on.get() + 1);
-        self.held = Some(Held(on.clone()));
+    /// Increments `counter`, which is decremented when this end is dropped.
+    pub fn counted_in(mut self, counter: &Rc<Cell<usize>>) -> MemoryStream {
+        counter.set(counter.get() + 1);
+        self.count = Some(StreamCount(counter.clone()));
         self
     }
 
-    /// Looks at what waits to be read.
-    pub fn peek(&self) -> impl Fn() -> Waiting {
+    /// Returns a function that tells what the next read would find.
+    pub fn peek(&self) -> impl Fn() -> PeekResult {
         let incoming = self.incoming.clone();
         move || {
             let pipe = incoming.borrow();
             match pipe.buffer.is_empty() {
-                _ if pipe.broken => Waiting::End,
-                false => Waiting::Bytes,
-                true if pipe.ended => Waiting::End,
-                true => Waiting::Nothing,
+                _ if pipe.reset => PeekResult::Closed,
+                false => PeekResult::Data,
+                true if pipe.writer_closed => PeekResult::Closed,
+                true => PeekResult::Empty,
             }
         }
     }
 
-    fn break_off(&self) {
+    /// Resets both directions.
+    fn reset_both(&self) {
         for pipe in [&self.incoming, &self.outgoing] {
             let mut pipe = pipe.borrow_mut();
-            pipe.broken = true;
+            pipe.reset = true;
             pipe.wake();
         }
     }
@@ -107,16 +108,16 @@
 
 impl Drop for MemoryStream {
     fn drop(&mut self) {
-        // Who closes with bytes unread resets, as TCP does.
+        // As in TCP, closing with unread bytes resets the connection.
         if !self.incoming.borrow().buffer.is_empty() {
-            self.break_off();
+            self.reset_both();
         }
-        let mut out = self.outgoing.borrow_mut();
-        out.ended = true;
-        out.wake();
-        drop(out);
+        let mut outgoing = self.outgoing.borrow_mut();
+        outgoing.writer_closed = true;
+        outgoing.wake();
+        drop(outgoing);
         let mut incoming = self.incoming.borrow_mut();
-        incoming.unread = true;
+        incoming.reader_closed = true;
         incoming.wake();
     }
 }
@@ -125,17 +126,17 @@
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let mut pipe = self.incoming.borrow_mut();
         if !pipe.buffer.is_empty() {
-            let some = pipe.buffer.len().min(buf.remaining());
-            buf.put_slice(&pipe.buffer.split_to(some));
+            let len = pipe.buffer.len().min(buf.remaining());
+            buf.put_slice(&pipe.buffer.split_to(len));
             if let Some(writer) = pipe.writer.take() {
                 writer.wake();
             }
             return Poll::Ready(Ok(()));
         }
-        if pipe.broken {
+        if pipe.reset {
             return Poll::Ready(Err(ErrorKind::ConnectionReset.into()));
         }
-        if pipe.ended {
+        if pipe.writer_closed {
             return Poll::Ready(Ok(()));
         }
         pipe.reader = Some(cx.waker().clone());
@@ -146,26 +147,26 @@
 impl AsyncWrite for MemoryStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let mut pipe = self.outgoing.borrow_mut();
-        if pipe.broken || pipe.ended {
+        if pipe.reset || pipe.writer_closed {
             return Poll::Ready(Err(ErrorKind::BrokenPipe.into()));
         }
-        if pipe.unread {
-            // The socket takes it; the reset that it is answered with comes after.
+        if pipe.reader_closed {
+            // As with a TCP socket, the write succeeds; the peer answers it with a reset afterwards.
             drop(pipe);
-            self.break_off();
+            self.reset_both();
             return Poll::Ready(Ok(bytes.len()));
         }
-        let room = BUFFER.saturating_sub(pipe.buffer.len());
-        if room == 0 {
+        let free = PIPE_CAPACITY_BYTES.saturating_sub(pipe.buffer.len());
+        if free == 0 {
             pipe.writer = Some(cx.waker().clone());
             return Poll::Pending;
         }
-        let some = room.min(bytes.len());
-        pipe.buffer.extend_from_slice(&bytes[..some]);
+        let len = free.min(bytes.len());
+        pipe.buffer.extend_from_slice(&bytes[..len]);
         if let Some(reader) = pipe.reader.take() {
             reader.wake();
         }
-        Poll::Ready(Ok(some))
+        Poll::Ready(Ok(len))
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -174,52 +175,54 @@
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         let mut pipe = self.outgoing.borrow_mut();
-        pipe.ended = true;
+        pipe.writer_closed = true;
         pipe.wake();
         Poll::Ready(Ok(()))
     }
 }
 
+/// The streams that a listener has not accepted yet.
 #[derive(Debug, Default)]
-struct Place {
+struct AcceptQueue {
     queue: RefCell<VecDeque<MemoryStream>>,
-    came: Notify,
+    arrived: Notify,
 }
 
+/// The listeners and the blocked addresses of a network.
 #[derive(Debug, Default)]
-struct Places {
-    listening: RefCell<BTreeMap<SocketAddr, Rc<Place>>>,
-    muted: RefCell<BTreeMap<SocketAddr, Rc<Notify>>>,
+struct Network {
+    listening: RefCell<BTreeMap<SocketAddr, Rc<AcceptQueue>>>,
+    blocked: RefCell<BTreeMap<SocketAddr, Rc<Notify>>>,
 }
 
-/// A network in memory; clones are the same one.
+/// An in-memory network; clones share the same network.
 #[derive(Clone, Debug, Default)]
-pub struct Memory(Rc<Places>);
+pub struct Memory(Rc<Network>);
 
-/// A place in memory where others connect.
+/// A listener in an in-memory network.
 #[derive(Debug)]
 pub struct MemoryListener {
-    places: Rc<Places>,
+    network: Rc<Network>,
     address: SocketAddr,
-    place: Rc<Place>,
+    accept_queue: Rc<AcceptQueue>,
 }
 
 impl Drop for MemoryListener {
     fn drop(&mut self) {
-        self.places.listening.borrow_mut().remove(&self.address);
-        for stream in self.place.queue.borrow_mut().drain(..) {
-            stream.break_off();
+        self.network.listening.borrow_mut().remove(&self.address);
+        for stream in self.accept_queue.queue.borrow_mut().drain(..) {
+            stream.reset_both();
         }
     }
 }
 
-/// Keeps connects to a place in memory hanging.
+/// Makes connects to an address of an in-memory network hang until it is dropped.
 #[derive(Debug)]
-pub struct MemoryMute(Rc<Places>, SocketAddr);
+pub struct MemoryConnectBlock(Rc<Network>, SocketAddr);
 
-impl Drop for MemoryMute {
+impl Drop for MemoryConnectBlock {
     fn drop(&mut self) {
-        if let Some(ended) = self.0.muted.borrow_mut().remove(&self.1) {
+        if let Some(ended) = self.0.blocked.borrow_mut().remove(&self.1) {
             ended.notify_waiters();
         }
     }
@@ -228,49 +231,49 @@
 impl Fabric for Memory {
     type Stream = MemoryStream;
     type Listener = MemoryListener;
-    type Mute = MemoryMute;
+    type ConnectBlock = MemoryConnectBlock;
 
     async fn bind(&self, address: SocketAddr) -> io::Result<MemoryListener> {
         let mut listening = self.0.listening.borrow_mut();
         if listening.contains_key(&address) {
             return Err(ErrorKind::AddrInUse.into());
         }
-        let place = Rc::<Place>::default();
-        listening.insert(address, place.clone());
-        Ok(MemoryListener { places: self.0.clone(), address, place })
+        let accept_queue = Rc::<AcceptQueue>::default();
+        listening.insert(address, accept_queue.clone());
+        Ok(MemoryListener { network: self.0.clone(), address, accept_queue })
     }
 
     async fn accept(&self, listener: &MemoryListener) -> io::Result<MemoryStream> {
         loop {
-            if let Some(stream) = listener.place.queue.borrow_mut().pop_front() {
+            if let Some(stream) = listener.accept_queue.queue.borrow_mut().pop_front() {
                 return Ok(stream);
             }
-            listener.place.came.notified().await;
+            listener.accept_queue.arrived.notified().await;
         }
     }
 
     async fn connect(&self, address: SocketAddr) -> io::Result<MemoryStream> {
         loop {
-            let muted = self.0.muted.borrow().get(&address).cloned();
-            match muted {
+            let blocked = self.0.blocked.borrow().get(&address).cloned();
+            match blocked {
                 Some(ended) => ended.notified().await,
                 None => break,
             }
         }
-        let place = self.0.listening.borrow().get(&address).cloned();
-        let place = place.ok_or_else(|| io::Error::from(ErrorKind::ConnectionRefused))?;
+        let accept_queue = self.0.listening.borrow().get(&address).cloned();
+        let accept_queue = accept_queue.ok_or_else(|| io::Error::from(ErrorKind::ConnectionRefused))?;
         let (ours, theirs) = MemoryStream::pair();
-        place.queue.borrow_mut().push_back(theirs);
-        place.came.notify_one();
+        accept_queue.queue.borrow_mut().push_back(theirs);
+        accept_queue.arrived.notify_one();
         Ok(ours)
     }
 
     fn reset(&self, stream: MemoryStream) {
-        stream.break_off();
+        stream.reset_both();
     }
 
-    async fn mute(&self, address: SocketAddr) -> io::Result<MemoryMute> {
-        self.0.muted.borrow_mut().insert(address, Rc::default());
-        Ok(MemoryMute(self.0.clone(), address))
+    async fn block_connects(&self, address: SocketAddr) -> io::Result<MemoryConnectBlock> {
+        self.0.blocked.borrow_mut().insert(address, Rc::default());
+        Ok(MemoryConnectBlock(self.0.clone(), address))
     }
 }
--- a/crates/emulator/src/result/attempts.rs
+++ b/crates/emulator/src/result/attempts.rs
@@ -1,43 +1,43 @@
-//! Rejections by cause, and attempts by their end.
+//! Rejected tries by cause, and attempts by their end.
 
 use super::numbers::ratio;
 use crate::accounting::{AttemptEnd, Regret, RequestAccounting, Try, TryEnd};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Rejected tries, and the regret of them: those that a server could have served.
+/// Rejected tries, and how many of them a server could have served (the regretted ones).
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Refusals {
-    /// Rejected share of all tries.
+    /// Share of all tries that were rejected.
     pub tries_share: f64,
     /// Share of the rejected tries that a server in service could have served in time.
     pub regretted_share: f64,
-    /// Counts by the end of the last attempt and by the regret at the rejection.
+    /// Counts by the end of the last attempt and by the regret, as `after_full.core_idle`.
     pub by_cause: BTreeMap<String, u64>,
-    /// Counts by the time from the try's begin to the rejection.
+    /// Counts by the time from the start of the try to its rejection.
     pub by_wait: BTreeMap<String, u64>,
 }
 
 /// Counts of attempts by their end.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Attempts {
-    /// Attempts that a server received whole.
+    /// Attempts that a server received completely.
     pub sent: u64,
     /// Counts by end.
     pub by_end: BTreeMap<String, u64>,
-    /// Sent while an earlier attempt of the request was open.
+    /// Attempts sent while an earlier attempt of the same try was open.
     pub second_copies: u64,
-    /// Most attempts of one request.
+    /// Maximum number of attempts for one try.
     pub most: usize,
-    /// Share of the sent work that brought no response.
+    /// Share of the sent work that produced no response.
     pub wasted_share: f64,
-    /// Share of the attempts that went to another zone.
+    /// Share of the attempts that were sent to another zone.
     pub crossed_share: f64,
 }
 
-/// The name of the end of a rejected try's last attempt.
-fn behind(one: &Try) -> &'static str {
-    match one.attempts.last().map(|a| a.end) {
+/// Names the cause of a rejection after the end of its last attempt.
+fn cause(record: &Try) -> &'static str {
+    match record.attempts.last().map(|a| a.end) {
         None => "at_once",
         Some(AttemptEnd::Full) => "after_full",
         Some(AttemptEnd::Draining | AttemptEnd::Crowded) => "after_turned_away",
@@ -51,46 +51,46 @@
 
 /// Counts the rejected tries.
 pub(super) fn refusals(tries: &[Try]) -> Refusals {
-    let mut by = Refusals::default();
+    let mut refusals = Refusals::default();
     let (mut refused, mut regretted) = (0.0, 0.0);
-    for one in tries {
-        let (TryEnd::Refused(_), Some(regret)) = (one.end, one.regret) else { continue };
+    for record in tries {
+        let (TryEnd::Refused(_), Some(regret)) = (record.end, record.regret) else { continue };
         refused += 1.0;
-        let (word, regrets) = match regret {
+        let (name, is_regretted) = match regret {
             Regret::CoreIdle => ("core_idle", true),
             Regret::WouldFit => ("would_fit", true),
             Regret::Full => ("full", false),
             Regret::Nobody => ("nobody", false),
         };
-        regretted += f64::from(u8::from(regrets));
-        *by.by_cause.entry(format!("{}.{word}", behind(one))).or_default() += 1;
-        let wait = match one.ended - one.sent {
+        regretted += f64::from(u8::from(is_regretted));
+        *refusals.by_cause.entry(format!("{}.{name}", cause(record))).or_default() += 1;
+        let wait = match record.ended - record.sent {
             w if w < 10.0 => "under_10_ms",
             w if w < 100.0 => "under_100_ms",
             w if w < 400.0 => "under_400_ms",
             _ => "longer",
         };
-        *by.by_wait.entry(wait.into()).or_default() += 1;
+        *refusals.by_wait.entry(wait.into()).or_default() += 1;
     }
-    by.tries_share = ratio(refused, tries.len() as f64);
-    by.regretted_share = ratio(regretted, refused);
-    by
+    refusals.tries_share = ratio(refused, tries.len() as f64);
+    refusals.regretted_share = ratio(regretted, refused);
+    refusals
 }
 
 /// Counts the attempts.
 pub(super) fn attempts(accounting: &RequestAccounting) -> Attempts {
-    let (mut all, mut ends) = (Attempts::default(), BTreeMap::<AttemptEnd, u64>::new());
-    for one in &accounting.tries {
-        all.most = all.most.max(one.attempts.len());
-        for attempt in &one.attempts {
-            all.sent += 1;
-            all.second_copies += u64::from(attempt.second_copy);
+    let (mut counts, mut ends) = (Attempts::default(), BTreeMap::<AttemptEnd, u64>::new());
+    for record in &accounting.tries {
+        counts.most = counts.most.max(record.attempts.len());
+        for attempt in &record.attempts {
+            counts.sent += 1;
+            counts.second_copies += u64::from(attempt.second_copy);
             *ends.entry(attempt.end).or_default() += 1;
         }
     }
-    let named = |end: AttemptEnd| serde_json::to_value(end).ok()?.as_str().map(str::to_owned);
-    all.by_end = ends.into_iter().filter_map(|(end, count)| Some((named(end)?, count))).collect();
-    all.wasted_share = ratio(accounting.work.1, accounting.work.0);
-    all.crossed_share = ratio(accounting.crossed as f64, all.sent as f64);
-    all
+    let end_name = |end: AttemptEnd| serde_json::to_value(end).ok()?.as_str().map(str::to_owned);
+    counts.by_end = ends.into_iter().filter_map(|(end, count)| Some((end_name(end)?, count))).collect();
+    counts.wasted_share = ratio(accounting.work_wasted, accounting.work_sent);
+    counts.crossed_share = ratio(accounting.cross_zone_attempts as f64, counts.sent as f64);
+    counts
 }
--- a/crates/emulator/src/result/mod.rs
+++ b/crates/emulator/src/result/mod.rs
@@ -1,4 +1,4 @@
-//! The outcome of a simulation: the contents of `result.json`, and the series by second.
+//! The outcome of a simulation: the contents of `result.json` and the series by second.
 
 mod attempts;
 mod flows;
@@ -14,7 +14,7 @@
 use crate::fabric::Fabric;
 use crate::simulation::Simulation;
 use attempts::{attempts, refusals};
-use flows::{ended, worst, Parts};
+use flows::{flow_end, worst_service, Parts};
 use numbers::{histogram, ratio, round, share};
 use serde::Serialize;
 use series::Series;
@@ -23,19 +23,19 @@
 /// Counts of tries by their end.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Tries {
-    /// Sent.
+    /// All tries.
     pub sent: u64,
     /// Served.
     pub served: u64,
-    /// Refused.
+    /// Rejected.
     pub refused: u64,
     /// Failed with an error response.
     pub failed: u64,
     /// Ended without a response.
     pub nothing: u64,
-    /// No connection was established.
+    /// No connection could be used.
     pub no_connection: u64,
-    /// In flight at a sidecar that was killed.
+    /// In flight when the sidecar was killed or its application stopped.
     pub excused: u64,
 }
 
@@ -50,52 +50,52 @@
     pub chokes: u64,
     /// Mean idle share of the cores in service.
     pub idle_share: f64,
-    /// Calls answered by discovery, and those that failed.
+    /// Discovery calls that were answered, and those that failed.
     pub calls: (u64, u64),
 }
 
-/// The outcome of a simulation, as `result.json` has it.
+/// The outcome of a simulation. The field names are keys of `result.json`.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Outcome {
-    /// The scenario's name.
+    /// The name of the scenario.
     pub day: String,
     /// The name of the balancing strategy.
     pub strategy: String,
     /// The seed.
     pub seed: u64,
-    /// Share of the requested worth that was served within its class's aim, counted from the first try.
+    /// Share of the requested worth that was served within the aim of its class, counted from the arrival.
     pub service: f64,
-    /// The same in the worst ten seconds.
+    /// The same in the worst window of ten seconds.
     pub worst_window: f64,
-    /// The same of the worst class.
+    /// The same for the worst class.
     pub worst_class: f64,
-    /// The same of the worst tenant, within its share.
+    /// The same for the worst tenant, without the traffic beyond its quota.
     pub worst_tenant: f64,
     /// Counts of flows.
     pub flows: Flows,
     /// Counts of tries.
     pub tries: Tries,
-    /// Refusals.
+    /// Rejected tries.
     pub refusals: Refusals,
     /// Counts of attempts.
     pub attempts: Attempts,
-    /// Time from the first try to the answer (ms).
+    /// Time from the arrival to the response (ms).
     pub latency: Latency,
-    /// By class.
+    /// Outcomes by class.
     pub classes: BTreeMap<String, Part>,
-    /// By tenant, within its share.
+    /// Outcomes by tenant, without the traffic beyond its quota.
     pub tenants: BTreeMap<String, Part>,
-    /// The fleet.
+    /// Figures of the servers and of discovery.
     pub servers: Servers,
-    /// Most open descriptors of a sidecar.
+    /// Maximum number of open descriptors of a sidecar.
     pub descriptors: usize,
-    /// Malformed requests sent, and those that got an error or a close in time.
+    /// Malformed requests sent, and those answered with an error or a close within the time limit.
     pub bad: (u64, u64),
     /// Corrupted responses by kind.
     pub spoilt: BTreeMap<String, u64>,
     /// Counts of violations by rule.
     pub violation_counts: BTreeMap<String, u64>,
-    /// The violations; only the first ones where there are many.
+    /// The violations; only the first 200 if there are more.
     pub violations: Vec<Violation>,
 }
 
@@ -114,82 +114,85 @@
     }
 }
 
-/// Computes the outcome of a simulation that has been played, and its series by second.
+/// Computes the outcome of a simulation that has been played and its series by second.
 pub fn outcome<F: Fabric>(simulation: &Simulation<F>, strategy: &str) -> (Outcome, Vec<Second>) {
-    let (schedule, accounting) = (&simulation.plan, simulation.environment.accounting.borrow());
-    let mut series = Series::new(schedule.day.length_s.ceil() as usize);
-    let mut out = Outcome {
-        day: schedule.day.name.clone(),
+    let (schedule, accounting) = (&simulation.schedule, simulation.environment.accounting.borrow());
+    let mut series = Series::new(schedule.scenario.length_s.ceil() as usize);
+    let mut outcome = Outcome {
+        day: schedule.scenario.name.clone(),
         strategy: strategy.into(),
         seed: schedule.seed,
         ..Outcome::default()
     };
-    count_flows(simulation, &accounting, &mut out, &mut series);
-    for one in &accounting.tries {
-        series.add_try(one.sent - simulation.day_start(), one.end);
-        out.tries.add(one.end);
+    count_flows(simulation, &accounting, &mut outcome, &mut series);
+    for record in &accounting.tries {
+        series.add_try(record.sent - simulation.scenario_start(), record.end);
+        outcome.tries.add(record.end);
     }
-    out.worst_window = series.worst_window();
-    out.refusals = refusals(&accounting.tries);
-    out.attempts = attempts(&accounting);
-    out.servers = servers(simulation, &accounting);
-    out.descriptors = accounting.descriptors.values().copied().max().unwrap_or(0);
-    (out.bad, out.spoilt) = (accounting.bad, accounting.spoilt.clone());
-    out.violation_counts = accounting.counts.iter().map(|(rule, n)| (rule.to_string(), *n)).collect();
-    out.violations = accounting.violations.clone();
-    for violation in &mut out.violations {
+    outcome.worst_window = series.worst_window();
+    outcome.refusals = refusals(&accounting.tries);
+    outcome.attempts = attempts(&accounting);
+    outcome.servers = server_figures(simulation, &accounting);
+    outcome.descriptors = accounting.most_descriptors.values().copied().max().unwrap_or(0);
+    (outcome.bad, outcome.spoilt) =
+        ((accounting.malformed_sent, accounting.malformed_rejected), accounting.corrupted_answers.clone());
+    outcome.violation_counts =
+        accounting.violation_counts.iter().map(|(rule, n)| (rule.to_string(), *n)).collect();
+    outcome.violations = accounting.violations.clone();
+    for violation in &mut outcome.violations {
         violation.at = round(violation.at);
     }
-    (out, series.finish(&simulation.samples.borrow()))
+    (outcome, series.finish(&simulation.samples.borrow()))
 }
 
-/// Counts every request: in total, by second, by class and by tenant.
+/// Counts every flow: in total, by second, by class and by tenant.
 fn count_flows<F: Fabric>(
     simulation: &Simulation<F>,
     accounting: &RequestAccounting,
-    out: &mut Outcome,
+    outcome: &mut Outcome,
     series: &mut Series,
 ) {
-    let (schedule, unasked) = (&simulation.plan, simulation.clients.unasked());
+    let (schedule, unsent) = (&simulation.schedule, simulation.clients.unsent());
     let mut by_flow: Vec<Vec<&Try>> = vec![Vec::new(); schedule.arrivals.len()];
     accounting.tries.iter().for_each(|t| by_flow[t.flow].push(t));
-    let (mut times, mut worth) = (histogram(), (0.0, 0.0));
+    let (mut latencies, mut worth) = (histogram(), (0.0, 0.0));
     let (mut classes, mut tenants) = (Parts::default(), Parts::default());
     for (flow, arrival) in schedule.arrivals.iter().enumerate() {
-        if unasked.contains(&flow) {
-            out.flows.unasked += 1;
+        if unsent.contains(&flow) {
+            outcome.flows.unasked += 1;
             continue;
         }
-        let one = ended(schedule, &by_flow[flow], simulation.day_at(arrival.at), flow);
-        worth = (worth.0 + arrival.worth, worth.1 + one.earned(arrival));
-        out.flows.add(&one);
-        series.add_flow(arrival, &one);
-        one.micros().into_iter().for_each(|time| times.saturating_record(time));
-        classes.add(&schedule.class(arrival).name, arrival, &one);
+        let end = flow_end(schedule, &by_flow[flow], simulation.simulation_time(arrival.at), flow);
+        worth = (worth.0 + arrival.worth, worth.1 + end.earned(arrival));
+        outcome.flows.add(&end);
+        series.add_flow(arrival, &end);
+        end.latency_us().into_iter().for_each(|time| latencies.saturating_record(time));
+        classes.add(&schedule.class(arrival).name, arrival, &end);
         if !arrival.over_share {
-            tenants.add(&schedule.day.tenants[arrival.tenant].name, arrival, &one);
+            tenants.add(&schedule.scenario.tenants[arrival.tenant].name, arrival, &end);
         }
     }
-    (out.classes, out.tenants) = (classes.finish(), tenants.finish());
-    (out.worst_class, out.worst_tenant) = (worst(&out.classes), worst(&out.tenants));
-    out.service = share(worth.1, worth.0);
-    out.latency = Latency::of(&times);
+    (outcome.classes, outcome.tenants) = (classes.finish(), tenants.finish());
+    (outcome.worst_class, outcome.worst_tenant) =
+        (worst_service(&outcome.classes), worst_service(&outcome.tenants));
+    outcome.service = share(worth.1, worth.0);
+    outcome.latency = Latency::from_histogram(&latencies);
 }
 
-fn servers<F: Fabric>(simulation: &Simulation<F>, accounting: &RequestAccounting) -> Servers {
+fn server_figures<F: Fabric>(simulation: &Simulation<F>, accounting: &RequestAccounting) -> Servers {
     let (members, samples) = (simulation.members(), simulation.samples.borrow());
     let probes: u64 = accounting.probes.values().sum();
     let connections: u64 = accounting.connections.values().sum();
     Servers {
-        probes_per_s: ratio(probes as f64, members.len() as f64 * simulation.plan.day.length_s),
+        probes_per_s: ratio(probes as f64, members.len() as f64 * simulation.schedule.scenario.length_s),
         connections_per_try: ratio(connections as f64, accounting.tries.len() as f64),
-        chokes: members.iter().map(|m| m.model.borrow().chokes).sum(),
+        chokes: members.iter().map(|m| m.model.borrow().degradations).sum(),
         idle_share: ratio(samples.iter().map(|s| s.idle).sum(), samples.len() as f64),
-        calls: accounting.calls,
+        calls: (accounting.calls_answered, accounting.calls_failed),
     }
 }
 
-/// The set of rules that were broken.
-pub fn broken(outcome: &Outcome) -> BTreeSet<Rule> {
+/// The rules that were violated.
+pub fn broken_rules(outcome: &Outcome) -> BTreeSet<Rule> {
     outcome.violations.iter().map(|v| v.rule).collect()
 }
--- a/crates/emulator/src/scenario/defaults.rs
+++ b/crates/emulator/src/scenario/defaults.rs
@@ -1,23 +1,23 @@
-//! The defaults of a scenario.
+//! Default values of the fields of a scenario.
 
 use super::{Class, Effect, Kind, Range, Tenant};
 
-pub(super) fn one() -> u64 {
+pub(super) fn seed() -> u64 {
     1
 }
 
-pub(super) fn minute() -> f64 {
+pub(super) fn length_s() -> f64 {
     60.0
 }
 
 pub(super) fn kinds() -> Vec<Kind> {
     vec![
-        Kind { name: "fast".into(), share: 0.6, speed: Range::two(1.5, 2.1), ..Kind::default() },
+        Kind { name: "fast".into(), share: 0.6, speed: Range::between(1.5, 2.1), ..Kind::default() },
         Kind {
             name: "slow".into(),
             share: 0.4,
-            speed: Range::two(0.77, 1.0),
-            cold_s: Range::two(10.0, 18.0),
+            speed: Range::between(0.77, 1.0),
+            cold_s: Range::between(10.0, 18.0),
             ..Kind::default()
         },
     ]
@@ -29,7 +29,7 @@
         Class {
             name: "place-order".into(),
             share: 0.4,
-            work_ms: Range::two(76.0, 140.0),
+            work_ms: Range::between(76.0, 140.0),
             aim_ms: 500.0,
             deadline_ms: 2000.0,
             worth: 8.0,
--- a/crates/emulator/src/scenario/figures.rs
+++ b/crates/emulator/src/scenario/figures.rs
@@ -1,6 +1,6 @@
-//! The macro that declares a table of a scenario file, each key with its default.
+//! A macro that declares a table of a scenario file, with a default for each key.
 
-/// Declares a struct whose fields are the keys of a table, with their defaults; unknown keys are refused.
+/// Declares a struct whose fields are the keys of a table, with their defaults; unknown keys are rejected.
 macro_rules! figures {
     ($(#[$doc:meta])* $name:ident { $($(#[$field_doc:meta])* $field:ident: $type:ty = $value:expr,)* }) => {
         $(#[$doc])*
--- a/crates/emulator/src/scenario/mod.rs
+++ b/crates/emulator/src/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! Scenarios as TOML files: every figure is a plain value or a range; unknown keys are rejected.
+//! Scenarios, read from TOML files: figures are plain values or ranges; unknown keys are rejected.
 
 mod checks;
 mod defaults;
@@ -16,49 +16,49 @@
 use serde::Deserialize;
 use std::path::Path;
 
-/// A scenario, which seeds turn into schedules.
+/// A scenario, from which a [`crate::schedule::Schedule`] is drawn by a seed. The fields are keys of the file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Its name, as tables show it.
+    /// The name, as shown in tables.
     pub name: String,
-    /// What it is for, in a sentence.
+    /// The purpose of the scenario in one sentence.
     #[serde(default)]
     pub about: String,
-    /// The seed, where the command line gives none.
-    #[serde(default = "defaults::one")]
+    /// The seed, unless the command line sets one.
+    #[serde(default = "defaults::seed")]
     pub seed: u64,
-    /// How long clients send requests (s).
-    #[serde(default = "defaults::minute")]
+    /// Time during which new flows arrive (s).
+    #[serde(default = "defaults::length_s")]
     pub length_s: f64,
-    /// How many there are of everything, and where.
+    /// The numbers of servers and sidecars, and their zones.
     #[serde(default)]
     pub fleet: Fleet,
-    /// Machine kinds.
+    /// Kinds of servers.
     #[serde(default = "defaults::kinds", rename = "kind")]
     pub kinds: Vec<Kind>,
-    /// What holds for all servers.
+    /// Figures that apply to all servers.
     #[serde(default)]
     pub server: ServerFigures,
-    /// What clients ask for.
+    /// The load that clients generate.
     #[serde(default)]
     pub load: Load,
     /// Request classes.
     #[serde(default = "defaults::classes", rename = "class")]
     pub classes: Vec<Class>,
-    /// Who shares the fleet.
+    /// The tenants that share the fleet.
     #[serde(default = "defaults::tenants", rename = "tenant")]
     pub tenants: Vec<Tenant>,
-    /// How clients behave.
+    /// Behaviour of the clients.
     #[serde(default)]
     pub clients: Clients,
-    /// How discovery behaves.
+    /// Behaviour of discovery.
     #[serde(default)]
     pub discovery: Discovery,
-    /// How the network behaves.
+    /// Behaviour of the network.
     #[serde(default)]
     pub network: Network,
-    /// What sidecars may do and hold.
+    /// Limits and permitted features of the sidecars.
     #[serde(default)]
     pub limits: Limits,
     /// The faults (`[[trouble]]` in the file).
@@ -66,16 +66,16 @@
     pub faults: Vec<Fault>,
 }
 
-/// Why a scenario can't be simulated: all problems at once, each with its key.
+/// Why a scenario cannot be loaded or simulated.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("{0}: {1}")]
     Unreadable(String, std::io::Error),
-    /// The file is no scenario in TOML.
+    /// The file is not a valid scenario in TOML.
     #[error("{0}: {1}")]
     Unparsable(String, toml::de::Error),
-    /// Its figures can't be simulated.
+    /// Its figures cannot be simulated; lists all problems, each with its key.
     #[error("{0}: {list}", list = .1.join("; "))]
     Impossible(String, Vec<String>),
 }
@@ -85,11 +85,11 @@
     pub fn load(path: &Path) -> Result<Scenario, ScenarioError> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|e| ScenarioError::Unreadable(name.clone(), e))?;
-        Scenario::read(&name, &text)
+        Scenario::parse(&name, &text)
     }
 
-    /// Parses the text of a scenario; `name` is the file's name in the error.
-    pub fn read(name: &str, text: &str) -> Result<Scenario, ScenarioError> {
+    /// Parses and validates the text of a scenario; `name` is the file name used in errors.
+    pub fn parse(name: &str, text: &str) -> Result<Scenario, ScenarioError> {
         let scenario: Scenario =
             toml::from_str(text).map_err(|e| ScenarioError::Unparsable(name.into(), e))?;
         let problems = scenario.problems();
--- a/crates/emulator/src/scenario/range.rs
+++ b/crates/emulator/src/scenario/range.rs
@@ -1,39 +1,39 @@
-//! A figure of a scenario file: a plain value, or a range that a draw takes it from.
+//! Figures of a scenario file: plain values, or ranges from which values are drawn.
 
 use serde::de::{self, Deserializer, SeqAccess, Visitor};
 use serde::Deserialize;
 use std::fmt;
 
-/// A figure, or a range that a scenario draws it from.
+/// A range from which a schedule draws a figure; a plain value is a range of length 0.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Range {
-    /// The least.
+    /// The lower bound.
     pub low: f64,
-    /// The most; equal to the least for a plain value.
+    /// The upper bound; equal to the lower one for a plain value.
     pub high: f64,
 }
 
 impl Range {
-    /// A plain value.
-    pub const fn one(value: f64) -> Range {
+    /// Creates a plain value.
+    pub const fn fixed(value: f64) -> Range {
         Range { low: value, high: value }
     }
 
-    /// A range.
-    pub const fn two(low: f64, high: f64) -> Range {
+    /// Creates a range.
+    pub const fn between(low: f64, high: f64) -> Range {
         Range { low, high }
     }
 
-    /// Where a number from 0 to 1 falls in it.
-    pub fn at(&self, part: f64) -> f64 {
-        self.low + (self.high - self.low) * part
+    /// The value at a fraction (0 to 1) of the range.
+    pub fn interpolate(&self, fraction: f64) -> f64 {
+        self.low + (self.high - self.low) * fraction
     }
 }
 
 impl<'de> Deserialize<'de> for Range {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Range, D::Error> {
-        struct Either;
-        impl<'de> Visitor<'de> for Either {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Range, D::Error> {
+        struct RangeVisitor;
+        impl<'de> Visitor<'de> for RangeVisitor {
             type Value = Range;
             fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
                 f.write_str("a number, or a range [least, most]")
@@ -42,13 +42,13 @@
                 if !value.is_finite() {
                     return Err(E::custom("it is no finite number"));
                 }
-                Ok(Range::one(value))
+                Ok(Range::fixed(value))
             }
             fn visit_i64<E: de::Error>(self, value: i64) -> Result<Range, E> {
-                Ok(Range::one(value as f64))
+                Ok(Range::fixed(value as f64))
             }
             fn visit_u64<E: de::Error>(self, value: u64) -> Result<Range, E> {
-                Ok(Range::one(value as f64))
+                Ok(Range::fixed(value as f64))
             }
             fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Range, A::Error> {
                 let low: f64 = seq.next_element()?.ok_or_else(|| de::Error::invalid_length(0, &self))?;
@@ -62,6 +62,6 @@
                 Ok(Range { low, high })
             }
         }
-        from.deserialize_any(Either)
+        deserializer.deserialize_any(RangeVisitor)
     }
 }
--- a/crates/emulator/src/scenario/traffic.rs
+++ b/crates/emulator/src/scenario/traffic.rs
@@ -1,167 +1,169 @@
-//! The traffic of a scenario and what it passes: load, classes, tenants, clients, discovery, network, limits.
+//! The tables of a scenario for the traffic and its surroundings: load, classes, tenants, clients, discovery,
+//! network and limits.
 
 use super::figures::figures;
 use super::Range;
 use serde::{Deserialize, Serialize};
 
 figures! {
-    /// What clients ask for.
+    /// The load that clients generate.
     Load {
-        /// Work asked for as a share of the warm fleet's capacity, without regard to keys met lately.
-        of_capacity: Range = Range::two(0.3, 0.45),
-        /// Requests a second, in place of that; the work of each stays.
+        /// Requested work as a share of the capacity of the warm fleet, ignoring savings by cached keys.
+        of_capacity: Range = Range::between(0.3, 0.45),
+        /// Flows per second, used instead of `of_capacity`; the work per flow is unaffected.
         rate: Option<f64> = None,
-        /// Slow swing of the rate over the scenario, as a share.
-        swing: Range = Range::two(0.1, 0.3),
-        /// How unlike the zones' shares of the traffic are (0: alike).
-        zone_skew: Range = Range::two(0.25, 0.6),
-        /// How unlike the sidecars' shares are.
-        stream_cv: Range = Range::two(0.6, 1.4),
-        /// Distinct keys; 0 for none.
-        keys: Range = Range::two(200.0, 440.0),
-        /// Exponent of their popularity.
-        key_zipf: Range = Range::two(0.9, 1.1),
-        /// What traffic beyond a tenant's share is worth.
+        /// Amplitude of the slow swing of the rate over the scenario, as a share of the rate.
+        swing: Range = Range::between(0.1, 0.3),
+        /// Skew of the zones' shares of the traffic (0: equal shares).
+        zone_skew: Range = Range::between(0.25, 0.6),
+        /// Coefficient of variation of the sidecars' shares of the traffic.
+        stream_cv: Range = Range::between(0.6, 1.4),
+        /// Number of distinct keys; 0 for none.
+        keys: Range = Range::between(200.0, 440.0),
+        /// Zipf exponent of the popularity of the keys.
+        key_zipf: Range = Range::between(0.9, 1.1),
+        /// Factor on the worth of traffic beyond a tenant's quota.
         over_share_worth: f64 = 0.1,
-        /// Share of the fleet's capacity that the tenants' shares divide.
-        quota_of_capacity: Range = Range::two(0.79, 0.94),
+        /// Share of the fleet's capacity that is divided into the tenants' quotas.
+        quota_of_capacity: Range = Range::between(0.79, 0.94),
     }
 }
 
 figures! {
     /// A request class.
     Class {
-        /// Its name, the first part of the path.
+        /// The name, which is also the request path.
         name: String = "quote".into(),
-        /// Share of the requests.
+        /// Share of the flows.
         share: f64 = 1.0,
-        /// Mean work (ms of a standard core).
-        work_ms: Range = Range::two(90.0, 160.0),
-        /// Spread of the work.
-        cv: Range = Range::two(0.3, 0.67),
-        /// Spread of the work of one attempt against another of the same request.
-        attempt_noise: Range = Range::two(0.06, 0.5),
-        /// An answer within this time earns its worth (ms).
+        /// Mean work of a flow (ms of a standard core).
+        work_ms: Range = Range::between(90.0, 160.0),
+        /// Coefficient of variation of the work.
+        cv: Range = Range::between(0.3, 0.67),
+        /// Coefficient of variation of the work between the attempts of one flow.
+        attempt_noise: Range = Range::between(0.06, 0.5),
+        /// A response within this time earns the worth (ms).
         aim_ms: f64 = 600.0,
-        /// How long a client waits over all its tries (ms).
+        /// Time after which a client gives up a flow, including all tries (ms).
         deadline_ms: f64 = 1500.0,
-        /// Worth of a request.
+        /// Worth of a flow.
         worth: f64 = 2.0,
-        /// Whether it may run again.
+        /// The effect of repeating a request.
         effect: Effect = Effect::Safe,
-        /// Who drops a repeat of keyed work: `all` servers, those of a `zone` or of a `cell`.
+        /// Which servers deduplicate keyed work among themselves: `all`, those of a `zone` or those of a `cell`.
         group: Group = Group::Cell,
-        /// For how long after the first run (ms).
+        /// Time after the first run during which they do so (ms).
         window_ms: f64 = 4000.0,
     }
 }
 
-/// What a repeat of a request would do.
+/// The effect of repeating a request.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Hash)]
 #[serde(rename_all = "lowercase")]
 pub enum Effect {
-    /// Nothing more.
+    /// None: it may be repeated.
     Safe,
-    /// Harm: it must never run twice.
+    /// Harmful: it must never run twice.
     Unsafe,
-    /// Nothing more inside a group of servers and for a while, which drop it by its key; else harm.
+    /// None within a [`Group`] of servers and a time window, where repeats are deduplicated by key; harmful
+    /// otherwise.
     Keyed,
 }
 
-/// Servers that drop each other's repeats of keyed work.
+/// The servers that deduplicate keyed work among themselves.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Group {
-    /// All of them.
+    /// All servers.
     All,
-    /// Those of one zone.
+    /// The servers of one zone.
     Zone,
-    /// Those of one cell.
+    /// The servers of one cell.
     Cell,
 }
 
 figures! {
-    /// Who shares the fleet.
+    /// A tenant that shares the fleet.
     Tenant {
-        /// Its name.
+        /// The name.
         name: String = "all".into(),
-        /// Its share.
+        /// Share of the quotas.
         share: f64 = 1.0,
-        /// How much of it is used.
-        usage: Range = Range::two(0.7, 1.1),
+        /// Traffic as a multiple of that share.
+        usage: Range = Range::between(0.7, 1.1),
     }
 }
 
 figures! {
-    /// How clients behave.
+    /// Behaviour of the clients.
     Clients {
-        /// Tries after the first.
-        retries: Range = Range::two(3.0, 4.99),
-        /// What one try may take of the class's time.
-        try_share: Range = Range::two(0.4, 0.55),
-        /// Wait between tries (ms).
-        backoff_ms: Range = Range::two(0.0, 200.0),
+        /// Maximum number of retries after the first try.
+        retries: Range = Range::between(3.0, 4.99),
+        /// Timeout of a try as a share of the class's `deadline_ms`.
+        try_share: Range = Range::between(0.4, 0.55),
+        /// Back-off between tries (ms).
+        backoff_ms: Range = Range::between(0.0, 200.0),
         /// Share of clients that honour `Retry-After`.
-        honour: Range = Range::two(0.0, 0.36),
-        /// How much later than a try's time its answer may still come (ms).
+        honour: Range = Range::between(0.0, 0.36),
+        /// Tolerance for responses after the timeout of a try (ms).
         slack_ms: f64 = 50.0,
     }
 }
 
 figures! {
-    /// How discovery behaves.
+    /// Behaviour of discovery.
     Discovery {
-        /// How late the list tells of what it is told (s).
-        notice_s: Range = Range::two(0.9, 4.4),
-        /// How late it tells of what ended without a word (s).
-        silent_notice_s: Range = Range::two(7.7, 13.0),
-        /// How late it tells of a start (s).
-        add_s: Range = Range::two(1.1, 2.3),
-        /// Calls answered a second, in turn.
-        calls_per_s: Range = Range::two(40.0, 70.0),
-        /// A call that would wait longer fails (ms).
+        /// Delay until an announced change appears in the list (s).
+        notice_s: Range = Range::between(0.9, 4.4),
+        /// Delay until a server that failed without an announcement is removed from the list (s).
+        silent_notice_s: Range = Range::between(7.7, 13.0),
+        /// Delay until a started server appears in the list (s).
+        add_s: Range = Range::between(1.1, 2.3),
+        /// Calls answered per second, one after another.
+        calls_per_s: Range = Range::between(40.0, 70.0),
+        /// Calls that would wait longer than this fail (ms).
         timeout_ms: f64 = 2000.0,
     }
 }
 
 figures! {
-    /// How the network behaves.
+    /// Behaviour of the network.
     Network {
-        /// One way within a zone (ms).
-        same_ms: Range = Range::two(0.13, 0.34),
-        /// One way between zones (ms).
-        cross_ms: Range = Range::two(0.42, 0.78),
-        /// Spread of one delay against another.
-        jitter: Range = Range::two(0.06, 0.32),
+        /// One-way delay within a zone (ms).
+        same_ms: Range = Range::between(0.13, 0.34),
+        /// One-way delay between zones (ms).
+        cross_ms: Range = Range::between(0.42, 0.78),
+        /// Coefficient of variation of the delays.
+        jitter: Range = Range::between(0.06, 0.32),
     }
 }
 
 figures! {
-    /// What sidecars may do and hold.
+    /// Limits and permitted features of the sidecars.
     Limits {
-        /// Descriptors of a sidecar.
+        /// Maximum number of open descriptors of a sidecar.
         sockets: usize = 256,
-        /// Memory of a sidecar (MB), held against a real one's.
+        /// Maximum memory of a sidecar (MB); checked where sidecars are real processes.
         memory_mb: f64 = 32.0,
-        /// Attempts of one request.
+        /// Maximum number of attempts for one request.
         max_attempts: usize = 3,
-        /// Nothing new may go to a server this long after word of its drain (ms).
+        /// Time after the notice of a drain from which no new attempt may be sent to the server (ms).
         drain_grace_ms: f64 = 1500.0,
-        /// Every time limit is so much longer (ms).
+        /// Tolerance added to every time limit (ms).
         slack_ms: f64 = 50.0,
-        /// Discovery's word counts as told after this at the latest (ms).
+        /// Time after which a change in the registry counts as known to every sidecar (ms).
         told_within_ms: f64 = 6000.0,
-        /// A cold server sent more than this multiple of what it can do falls over.
+        /// A cold server fails if it is sent more than this multiple of its current capacity.
         fall_multiple: f64 = 4.0,
-        /// The window of that (ms).
+        /// Time window over which that is measured (ms).
         fall_ms: f64 = 1500.0,
-        /// The longest wait that a refusal may advise (ms); 0: none may.
+        /// Maximum `Retry-After` of a rejection (ms); 0: the header is not allowed.
         max_retry_after_ms: f64 = 1000.0,
         /// Whether probes are allowed.
         probes: bool = true,
-        /// Whether a second copy may be out.
+        /// Whether a second attempt may be sent while one is open.
         second_copies: bool = true,
-        /// Whether an attempt may be called off.
+        /// Whether open attempts may be cancelled.
         cancel: bool = true,
     }
 }
--- a/crates/emulator/src/schedule/parameters.rs
+++ b/crates/emulator/src/schedule/parameters.rs
@@ -1,11 +1,11 @@
-//! The parameters of a server, by what they describe. Times are in ms, work in ms of a standard core.
+//! Groups of server parameters. Times are in ms, work is in ms of a standard core.
 
 /// The loss of efficiency under many held requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Thrashing {
     /// Loss of efficiency for each multiple of `threshold` beyond the first.
     pub loss: f64,
-    /// Held requests per core from which efficiency falls.
+    /// Held requests per core above which efficiency falls.
     pub threshold: f64,
 }
 
@@ -16,11 +16,11 @@
     pub initial_share: f64,
     /// Time until it is warm.
     pub time: f64,
-    /// Served requests until it is warm, if that is sooner; 0: by time only.
+    /// Number of served requests until it is warm, if that is sooner; 0: by time only.
     pub requests: f64,
 }
 
-/// Short pauses, as of a garbage collector.
+/// Short pauses, like those of a garbage collector.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShortPauses {
     /// Mean time between pauses.
@@ -32,7 +32,7 @@
 /// The connection table of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionTable {
-    /// Connections that it accepts.
+    /// Maximum number of connections.
     pub size: usize,
     /// Share of the capacity that a full table costs.
     pub full_cost: f64,
@@ -52,30 +52,30 @@
 pub struct Probes {
     /// Work of a probe.
     pub work: f64,
-    /// Probes at a time; further ones fail.
+    /// Maximum number of concurrent probes; further ones fail.
     pub limit: usize,
-    /// Whether probes wait in the queue of the requests.
+    /// Whether probes wait in the queue like requests.
     pub queued: bool,
 }
 
 /// The load reports of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reporting {
-    /// Time between refreshes of the figures.
+    /// Interval of refreshes of the figures.
     pub period: f64,
-    /// Delay until refreshed figures are reported.
+    /// Delay until refreshed figures appear in reports.
     pub delay: f64,
     /// Coefficient of variation of the noise.
     pub noise: f64,
 }
 
-/// The cache of recently met keys.
+/// The cache of recently requested keys.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct KeyCache {
     /// Share of the work that a cached key saves.
     pub saving: f64,
     /// Time for which a key is cached.
     pub lifetime: f64,
-    /// Keys that it holds.
+    /// Maximum number of cached keys.
     pub size: usize,
 }
--- a/crates/emulator/src/schedule/servers.rs
+++ b/crates/emulator/src/schedule/servers.rs
@@ -1,179 +1,197 @@
-//! Config servers and sidecars as a draw has them.
+//! The drawn parameters of config servers and sidecars.
 
 use super::parameters::{
     ConnectionTable, Handshake, KeyCache, Probes, Reporting, ShortPauses, Thrashing, WarmUp,
 };
-use super::random::{factor, spread, Draws, Purpose};
+use super::random::{apportion, lognormal_factor, Draws, Purpose};
 use crate::scenario::{Cancel, Scenario};
 use rand::Rng;
 
-/// A config server.
+/// The parameters of a config server. Times are in ms.
 #[derive(Clone, Debug)]
 pub struct ServerPlan {
-    /// Its id in the list.
+    /// The id in the list of discovery.
     pub id: String,
-    /// Its zone.
+    /// The index of the zone.
     pub zone: usize,
-    /// Its cell.
+    /// The cell.
     pub cell: u64,
-    /// The name of its kind.
+    /// The name of the kind.
     pub kind: String,
-    /// The size that the list states.
+    /// The size that discovery lists.
     pub size: f64,
-    /// Cores.
+    /// Number of cores.
     pub cores: f64,
-    /// Speed of a core.
+    /// Speed of a core relative to the standard core.
     pub speed: f64,
-    /// Requests in work at a time.
+    /// Maximum number of running requests.
     pub slots: usize,
-    /// Requests that wait beyond that.
+    /// Maximum number of queued requests.
     pub queue: usize,
     /// Loss of efficiency under many held requests.
-    pub thrash: Thrashing,
-    /// Its warm-up after a start.
-    pub cold: WarmUp,
+    pub thrashing: Thrashing,
+    /// Warm-up after a start.
+    pub warm_up: WarmUp,
     /// Short pauses.
-    pub pause: ShortPauses,
-    /// Share of errors.
+    pub pauses: ShortPauses,
+    /// Share of the requests answered with an error.
     pub error_rate: f64,
-    /// What a hang-up drops.
+    /// Which work is cancelled when its sidecar closes the connection.
     pub cancel: Cancel,
-    /// Its connection table.
-    pub conns: ConnectionTable,
+    /// The connection table.
+    pub connection_table: ConnectionTable,
     /// The cost of a new connection.
     pub handshake: Handshake,
-    /// Idle time of a connection (ms).
-    pub idle: f64,
+    /// Idle time after which the server closes a connection.
+    pub idle_timeout: f64,
     /// The handling of probes.
-    pub probe: Probes,
-    /// Its load reports.
-    pub report: Reporting,
-    /// Its cache of keys.
-    pub keys: KeyCache,
-    /// How it turns slow when crowded; `None`: never.
-    pub choke: Option<Choke>,
+    pub probes: Probes,
+    /// Load reports.
+    pub reporting: Reporting,
+    /// The cache of keys.
+    pub key_cache: KeyCache,
+    /// Degradation by long queues; `None`: it never degrades.
+    pub degradation: Option<DegradationPlan>,
 }
 
-/// How a crowded server turns slow, and recovers.
+/// When a server with a long queue degrades, and how it recovers. Times are in ms.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Choke {
-    /// Requests waiting.
-    pub at: f64,
-    /// For so long (ms).
-    pub over: f64,
-    /// Times slower.
-    pub slower: f64,
-    /// Busy share of its cores under which it rests.
-    pub below: f64,
-    /// For so long (ms).
-    pub rest: f64,
-    /// Recovered after this in any case (ms).
-    pub most: f64,
+pub struct DegradationPlan {
+    /// Number of requests held beyond the cores above which the server may degrade.
+    pub queue_limit: f64,
+    /// Time for which the limit must be exceeded before the server degrades.
+    pub queue_duration: f64,
+    /// Factor by which a degraded server is slower.
+    pub slowdown: f64,
+    /// Busy share of the cores below which the server counts as nearly idle.
+    pub idle_below: f64,
+    /// Time of being nearly idle after which it has recovered.
+    pub idle_duration: f64,
+    /// Maximum duration of the degradation.
+    pub max_duration: f64,
 }
 
-/// A sidecar and its application.
+/// The parameters of a sidecar and its application.
 #[derive(Clone, Debug)]
 pub struct SidecarPlan {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Its zone.
+    /// The index of the zone.
     pub zone: usize,
-    /// Its share of the traffic.
+    /// Share of the traffic.
     pub share: f64,
 }
 
-/// Draws a server of the scenario's kinds.
-pub(super) fn server(
+/// Draws a server of a kind (an index in the scenario's kinds). The order of the draws must not change.
+pub(super) fn draw_server(
     scenario: &Scenario,
-    d: &mut Draws,
+    draws: &mut Draws,
     number: usize,
     zone: usize,
     kind: usize,
 ) -> ServerPlan {
-    let (k, s) = (&scenario.kinds[kind], &scenario.server);
-    let speed = d.of(k.speed) * factor(d.of(k.speed_cv), d.0.random());
-    let cores = k.cores;
+    let (kind_figures, server_figures) = (&scenario.kinds[kind], &scenario.server);
+    let speed = draws.draw(kind_figures.speed)
+        * lognormal_factor(draws.draw(kind_figures.speed_cv), draws.rng.random());
+    let cores = kind_figures.cores;
     ServerPlan {
-        id: format!("s-{:08x}", d.0.random::<u32>()),
+        id: format!("s-{:08x}", draws.rng.random::<u32>()),
         zone,
         cell: (number / scenario.fleet.cell_size) as u64 * 16 + zone as u64,
-        kind: k.name.clone(),
-        size: (cores * speed * factor(d.of(scenario.fleet.size_noise), d.0.random()) * 10.0).round() / 10.0,
+        kind: kind_figures.name.clone(),
+        size: (cores
+            * speed
+            * lognormal_factor(draws.draw(scenario.fleet.size_noise), draws.rng.random())
+            * 10.0)
+            .round()
+            / 10.0,
         cores,
         speed,
-        slots: (d.of(k.slots_per_core) * cores).round() as usize,
-        queue: (d.of(k.queue_per_core) * cores).round() as usize,
-        thrash: Thrashing { loss: d.of(k.thrash), threshold: d.of(k.thrash_at) },
-        cold: WarmUp {
-            initial_share: d.of(k.cold_from),
-            time: d.of(k.cold_s) * 1e3,
-            requests: d.of(k.warm_requests),
+        slots: (draws.draw(kind_figures.slots_per_core) * cores).round() as usize,
+        queue: (draws.draw(kind_figures.queue_per_core) * cores).round() as usize,
+        thrashing: Thrashing {
+            loss: draws.draw(kind_figures.thrash),
+            threshold: draws.draw(kind_figures.thrash_at),
         },
-        pause: ShortPauses { interval: d.of(k.pause_every_s) * 1e3, length: d.of(k.pause_ms) },
-        error_rate: d.of(k.error_rate),
-        cancel: k.cancel,
-        conns: ConnectionTable {
-            size: (d.of(s.conns_per_core) * cores) as usize,
-            full_cost: d.of(s.full_tax),
+        warm_up: WarmUp {
+            initial_share: draws.draw(kind_figures.cold_from),
+            time: draws.draw(kind_figures.cold_s) * 1e3,
+            requests: draws.draw(kind_figures.warm_requests),
         },
-        handshake: Handshake { work: d.of(s.handshake_ms), round_trips: d.of(s.handshake_rtts).round() },
-        idle: d.of(s.idle_s) * 1e3,
-        probe: Probes {
-            work: d.of(s.probe_ms),
-            limit: (d.of(s.probes_per_core) * cores).ceil() as usize,
-            queued: s.probe_deep,
+        pauses: ShortPauses {
+            interval: draws.draw(kind_figures.pause_every_s) * 1e3,
+            length: draws.draw(kind_figures.pause_ms),
         },
-        report: Reporting {
-            period: d.of(s.report_period_ms),
-            delay: d.of(s.report_delay_ms),
-            noise: d.of(s.report_noise),
+        error_rate: draws.draw(kind_figures.error_rate),
+        cancel: kind_figures.cancel,
+        connection_table: ConnectionTable {
+            size: (draws.draw(server_figures.conns_per_core) * cores) as usize,
+            full_cost: draws.draw(server_figures.full_tax),
         },
-        keys: KeyCache {
-            saving: d.of(s.key_gain),
-            lifetime: d.of(s.key_s) * 1e3,
-            size: (d.of(s.keys_per_core) * cores) as usize,
+        handshake: Handshake {
+            work: draws.draw(server_figures.handshake_ms),
+            round_trips: draws.draw(server_figures.handshake_rtts).round(),
         },
-        choke: Some(Choke {
-            at: d.of(s.choke_at) * cores,
-            over: d.of(s.choke_over_s) * 1e3,
-            slower: d.of(s.choke_slower),
-            below: d.of(s.choke_below),
-            rest: d.of(s.choke_rest_s) * 1e3,
-            most: d.of(s.choke_most_s) * 1e3,
+        idle_timeout: draws.draw(server_figures.idle_s) * 1e3,
+        probes: Probes {
+            work: draws.draw(server_figures.probe_ms),
+            limit: (draws.draw(server_figures.probes_per_core) * cores).ceil() as usize,
+            queued: server_figures.probe_deep,
+        },
+        reporting: Reporting {
+            period: draws.draw(server_figures.report_period_ms),
+            delay: draws.draw(server_figures.report_delay_ms),
+            noise: draws.draw(server_figures.report_noise),
+        },
+        key_cache: KeyCache {
+            saving: draws.draw(server_figures.key_gain),
+            lifetime: draws.draw(server_figures.key_s) * 1e3,
+            size: (draws.draw(server_figures.keys_per_core) * cores) as usize,
+        },
+        degradation: Some(DegradationPlan {
+            queue_limit: draws.draw(server_figures.choke_at) * cores,
+            queue_duration: draws.draw(server_figures.choke_over_s) * 1e3,
+            slowdown: draws.draw(server_figures.choke_slower),
+            idle_below: draws.draw(server_figures.choke_below),
+            idle_duration: draws.draw(server_figures.choke_rest_s) * 1e3,
+            max_duration: draws.draw(server_figures.choke_most_s) * 1e3,
         })
-        .filter(|c| c.at > 0.0),
+        .filter(|c| c.queue_limit > 0.0),
     }
 }
 
-/// Draws the servers that the scenario begins with.
-pub(super) fn servers(scenario: &Scenario, seed: u64) -> Vec<ServerPlan> {
+/// Draws the initial servers of the scenario.
+pub(super) fn draw_servers(scenario: &Scenario, seed: u64) -> Vec<ServerPlan> {
     let zones = scenario.fleet.zones.len();
-    let mut d = Draws::new(seed, Purpose::Fleet);
-    let skew = d.of(scenario.fleet.zone_skew);
-    let places = spread(scenario.fleet.servers, &d.shares(zones, skew));
+    let mut draws = Draws::new(seed, Purpose::Fleet);
+    let skew = draws.draw(scenario.fleet.zone_skew);
+    let zone_of_each = apportion(scenario.fleet.servers, &draws.shares(zones, skew));
     let kinds: Vec<f64> = scenario.kinds.iter().map(|k| k.share).collect();
     let sum: f64 = kinds.iter().sum();
-    let kinds = spread(scenario.fleet.servers, &kinds.iter().map(|k| k / sum).collect::<Vec<_>>());
-    let mixed = d.order(kinds.len());
-    (0..places.len()).map(|n| server(scenario, &mut d, n, places[n], kinds[mixed[n]])).collect()
+    let kinds = apportion(scenario.fleet.servers, &kinds.iter().map(|k| k / sum).collect::<Vec<_>>());
+    let order = draws.permutation(kinds.len());
+    (0..zone_of_each.len())
+        .map(|n| draw_server(scenario, &mut draws, n, zone_of_each[n], kinds[order[n]]))
+        .collect()
 }
 
-/// Capacity of servers when warm: work of a standard core, in ms a ms.
+/// Capacity of warm servers: work (ms of a standard core) per ms.
 pub(super) fn capacity_of(servers: &[ServerPlan]) -> f64 {
     servers.iter().map(|s| s.cores * s.speed).sum()
 }
 
-/// Draws the sidecars with their shares of the traffic.
-pub(super) fn sidecars(scenario: &Scenario, seed: u64) -> Vec<SidecarPlan> {
-    let mut d = Draws::new(seed, Purpose::Sidecars);
-    let skew = d.of(scenario.load.zone_skew);
-    let zones = d.shares(scenario.fleet.zones.len(), skew);
+/// Draws the sidecars and their shares of the traffic.
+pub(super) fn draw_sidecars(scenario: &Scenario, seed: u64) -> Vec<SidecarPlan> {
+    let mut draws = Draws::new(seed, Purpose::Sidecars);
+    let skew = draws.draw(scenario.load.zone_skew);
+    let zones = draws.shares(scenario.fleet.zones.len(), skew);
     let even = vec![1.0 / zones.len() as f64; zones.len()];
-    let places = spread(scenario.fleet.sidecars, &even);
-    let cv = d.of(scenario.load.stream_cv);
-    let mut raw: Vec<f64> = places.iter().map(|z| zones[*z] * factor(cv, d.0.random()).max(0.05)).collect();
+    let zone_of_each = apportion(scenario.fleet.sidecars, &even);
+    let cv = draws.draw(scenario.load.stream_cv);
+    let mut raw: Vec<f64> =
+        zone_of_each.iter().map(|z| zones[*z] * lognormal_factor(cv, draws.rng.random()).max(0.05)).collect();
     let sum: f64 = raw.iter().sum();
     raw.iter_mut().for_each(|s| *s /= sum);
-    let named = places.into_iter().zip(raw).enumerate();
+    let named = zone_of_each.into_iter().zip(raw).enumerate();
     named.map(|(n, (zone, share))| SidecarPlan { name: format!("n{n}"), zone, share }).collect()
 }
--- a/crates/emulator/src/server/job.rs
+++ b/crates/emulator/src/server/job.rs
@@ -1,36 +1,36 @@
-//! The jobs of a server: requests, rejections and completions.
+//! Jobs of a server, their rejection and their completion.
 
-/// A unit of work for a server.
+/// A unit of work for a server: a request or a queued probe.
 #[derive(Clone, Copy, Debug)]
 pub struct Job {
-    /// Number of its own.
+    /// Unique id of the job at its server.
     pub id: u64,
-    /// Work (ms of a standard core) without the saving by a cached key.
+    /// Work (ms of a standard core), without the saving by a cached key.
     pub work: f64,
-    /// Its key.
+    /// The cache key, if any.
     pub key: Option<u64>,
-    /// Whether it ends with an error.
+    /// Whether it will fail with an error.
     pub error: bool,
 }
 
 /// Why a server rejects a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TurnedAway {
-    /// Its queue is full.
+pub enum Rejection {
+    /// The queue is full.
     Full,
-    /// It is draining.
+    /// The server is draining.
     Draining,
-    /// It is down.
+    /// The server is down.
     Down,
 }
 
 /// The completion of a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Done {
-    /// The job's number.
+pub struct Completion {
+    /// The id of the job.
     pub id: u64,
     /// When it ended (ms).
     pub at: f64,
-    /// Whether it failed.
+    /// Whether it failed with an error.
     pub error: bool,
 }
--- a/crates/emulator/src/server/mod.rs
+++ b/crates/emulator/src/server/mod.rs
@@ -2,24 +2,27 @@
 //!
 //! Running requests share the cores evenly (processor sharing); the others wait in a FIFO queue. Everything
 //! that changes the speed (warm-up, thrashing, a full connection table, degradation by a long queue, pauses)
-//! changes it for all running requests alike, so that attained service is one number for the server, and a
-//! request ends when that number has grown by its work. Times are in ms, work in ms of a standard core.
+//! affects all running requests equally. Attained service is therefore a single number per server, and a
+//! request completes when that number has grown by its work. Times are in ms, work is in ms of a standard core.
 
-mod crowding;
+mod degradation;
 mod job;
-mod pace;
 mod report;
+mod speed;
 
-pub use job::{Done, Job, TurnedAway};
+pub use job::{Completion, Job, Rejection};
 pub use report::Report;
 
 use crate::scenario::Cancel;
 use crate::schedule::{hashed, ServerPlan};
-use crowding::Crowding;
+use degradation::QueueState;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Longest step while the speed changes by itself (ms).
-const LOOK: f64 = 20.0;
+/// Maximum step of the model while the speed changes over time.
+const MAX_STEP_MS: f64 = 20.0;
+/// Keys of the draws of pauses. Changing one changes the results of every seed.
+const DRAW_FIRST_PAUSE: u64 = 1;
+const DRAW_PAUSE: u64 = 2;
 
 /// The life-cycle phase of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,10 +35,11 @@
     Down,
 }
 
+/// A running or queued job.
 #[derive(Clone, Copy, Debug)]
-struct Work {
+struct AcceptedJob {
     id: u64,
-    /// Attained service at which it ends; while it waits, its work.
+    /// While running: the attained service at which the job completes. While queued: its work.
     end: f64,
     error: bool,
 }
@@ -43,47 +47,49 @@
 /// The state of a server.
 #[derive(Debug)]
 pub struct Server {
-    /// Its parameters.
+    /// The parameters.
     pub plan: ServerPlan,
-    /// Its phase.
+    /// The life-cycle phase.
     pub phase: Phase,
     seed: u64,
     now: f64,
-    /// When its process started, and the requests served since; `None`: long ago.
+    /// When the process started; `None` if it was running before the simulation.
     started: Option<f64>,
+    /// Requests served since the start of the process.
     served: f64,
-    /// Attained service of each request in work.
+    /// Attained service of a request that runs since the start of the process.
     attained: f64,
-    running: Vec<Work>,
-    waiting: VecDeque<Work>,
-    /// Work that belongs to no request (handshakes, probes), still to be done.
-    chores: f64,
-    crowding: Crowding,
+    running: Vec<AcceptedJob>,
+    waiting: VecDeque<AcceptedJob>,
+    /// Remaining work for handshakes and probes.
+    background_work: f64,
+    queue_state: QueueState,
     paused_until: f64,
     next_pause: f64,
-    /// The factor by which a fault slows it down.
-    pub slowed: f64,
-    /// Open connections.
-    pub conns: usize,
-    /// Open probes.
-    pub probing: usize,
-    /// Keys met, with the time.
-    keys: BTreeMap<u64, f64>,
-    /// Work that it was sent while cold.
-    sent: VecDeque<(f64, f64)>,
-    /// Whether it has failed by overload while cold.
-    pub fallen: bool,
-    /// The figures as they were at the last two refreshes.
-    figures: [(f64, Report); 2],
-    /// How often it was degraded by a long queue.
-    pub chokes: u64,
+    /// The factor by which a fault slows the server down.
+    pub slowdown: f64,
+    /// Number of open connections.
+    pub connections: usize,
+    /// Number of open probes.
+    pub open_probes: usize,
+    /// Cached keys with the time of their last request.
+    key_requested_at: BTreeMap<u64, f64>,
+    /// Times and work of the requests received while cold.
+    cold_arrivals: VecDeque<(f64, f64)>,
+    /// Whether the process has failed by overload while cold.
+    pub failed_by_overload: bool,
+    /// The figures of the last two refreshes with their times, the older one first.
+    reported_figures: [(f64, Report); 2],
+    /// Number of degradations by a long queue.
+    pub degradations: u64,
+    /// Mean work of a request, for the tolerance of the overload check.
     mean_work: f64,
 }
 
 impl Server {
-    /// Creates a warm server that has been up for long.
+    /// Creates a warm server that has been running for a long time.
     pub fn new(plan: ServerPlan, seed: u64, mean_work: f64) -> Server {
-        let first = plan.pause.interval * hashed(seed, &[1]);
+        let first = plan.pauses.interval * hashed(seed, &[DRAW_FIRST_PAUSE]);
         Server {
             plan,
             phase: Phase::Up,
@@ -94,18 +100,18 @@
             attained: 0.0,
             running: Vec::new(),
             waiting: VecDeque::new(),
-            chores: 0.0,
-            crowding: Crowding::Calm,
+            background_work: 0.0,
+            queue_state: QueueState::Normal,
             paused_until: 0.0,
             next_pause: first.max(1.0),
-            slowed: 1.0,
-            conns: 0,
-            probing: 0,
-            keys: BTreeMap::new(),
-            sent: VecDeque::new(),
-            fallen: false,
-            figures: [(0.0, Report::default()); 2],
-            chokes: 0,
+            slowdown: 1.0,
+            connections: 0,
+            open_probes: 0,
+            key_requested_at: BTreeMap::new(),
+            cold_arrivals: VecDeque::new(),
+            failed_by_overload: false,
+            reported_figures: [(0.0, Report::default()); 2],
+            degradations: 0,
             mean_work,
         }
     }
@@ -113,34 +119,40 @@
     /// Starts a new process, cold and empty.
     pub fn start(&mut self, now: f64) {
         let plan = self.plan.clone();
-        let (seed, slowed, chokes) = (self.seed, self.slowed, self.chokes);
-        *self = Server { now, started: Some(now), slowed, chokes, ..Server::new(plan, seed, self.mean_work) };
-        self.next_pause = now + self.plan.pause.interval.max(1.0);
-        self.figures = [(now, Report::default()); 2];
+        let (seed, slowdown, degradations) = (self.seed, self.slowdown, self.degradations);
+        *self = Server {
+            now,
+            started: Some(now),
+            slowdown,
+            degradations,
+            ..Server::new(plan, seed, self.mean_work)
+        };
+        self.next_pause = now + self.plan.pauses.interval.max(1.0);
+        self.reported_figures = [(now, Report::default()); 2];
     }
 
-    /// When its process last started; `None` for long ago.
-    pub fn started(&self) -> Option<f64> {
+    /// When the process last started; `None` if it was running before the simulation.
+    pub fn started_at(&self) -> Option<f64> {
         self.started
     }
 
-    /// Requests held.
+    /// Number of requests running or queued.
     pub fn held(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
 
-    /// Requests waiting.
+    /// Number of requests queued.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether it is paused.
-    pub fn paused(&self) -> bool {
+    /// Whether the server is paused.
+    pub fn is_paused(&self) -> bool {
         self.now < self.paused_until
     }
 
-    /// The time of its next event, if no work arrives before; infinite where it is down.
-    pub fn next(&self) -> f64 {
+    /// The time of the next event if no work arrives before it; infinite if the server is down.
+    pub fn next_event(&self) -> f64 {
         if self.phase == Phase::Down {
             return f64::INFINITY;
         }
@@ -148,100 +160,109 @@
             return self.paused_until;
         }
         let mut next = self.next_pause;
-        let pace = self.pace();
-        if let (Some(first), true) = (self.first_end(), pace > 0.0) {
-            next = next.min(self.now + ((first - self.attained) / pace).max(0.0));
+        let service_rate = self.service_rate();
+        if let (Some(first), true) = (self.first_completion(), service_rate > 0.0) {
+            next = next.min(self.now + ((first - self.attained) / service_rate).max(0.0));
         }
-        let changing = self.started.is_some() && self.warmth() < 1.0;
-        if (changing && !self.running.is_empty()) || self.crowding != Crowding::Calm || self.chores > 0.0 {
-            next = next.min(self.now + LOOK);
+        let changing = self.started.is_some() && self.warm_share() < 1.0;
+        if (changing && !self.running.is_empty())
+            || self.queue_state != QueueState::Normal
+            || self.background_work > 0.0
+        {
+            next = next.min(self.now + MAX_STEP_MS);
         }
         next
     }
 
-    fn first_end(&self) -> Option<f64> {
+    fn first_completion(&self) -> Option<f64> {
         self.running.iter().map(|w| w.end).min_by(f64::total_cmp)
     }
 
-    /// Advances the model to `now` and appends the jobs that completed.
-    pub fn advance(&mut self, now: f64, done: &mut Vec<Done>) {
+    /// Advances the model to `now` and appends the jobs completed meanwhile to `done`.
+    pub fn advance(&mut self, now: f64, done: &mut Vec<Completion>) {
         while self.now < now {
-            let step = self.next().min(now).max(self.now);
-            self.work_until(step, done);
+            let step = self.next_event().min(now).max(self.now);
+            self.step_to(step, done);
             if self.now >= self.next_pause && self.phase != Phase::Down {
-                // Short pauses, as of a garbage collector; drawn by their number in time.
-                let draw = hashed(self.seed, &[2, self.now as u64]);
-                self.paused_until = self.paused_until.max(self.now + self.plan.pause.length * (0.5 + draw));
-                self.next_pause = self.paused_until + self.plan.pause.interval.max(1.0) * (0.5 + draw);
+                // Short pauses, like those of a garbage collector; the draw depends on the time of the pause.
+                let draw = hashed(self.seed, &[DRAW_PAUSE, self.now as u64]);
+                self.paused_until = self.paused_until.max(self.now + self.plan.pauses.length * (0.5 + draw));
+                self.next_pause = self.paused_until + self.plan.pauses.interval.max(1.0) * (0.5 + draw);
             }
             if step >= now {
                 break;
             }
         }
         self.now = self.now.max(now);
-        self.crowd();
+        self.update_queue_state();
     }
 
-    fn work_until(&mut self, until: f64, done: &mut Vec<Done>) {
+    /// Advances the running requests to `until` at the current speed, which must not change before.
+    fn step_to(&mut self, until: f64, done: &mut Vec<Completion>) {
         let passed = until - self.now;
-        let pace = self.pace();
+        let service_rate = self.service_rate();
         if self.now >= self.paused_until {
-            self.chores = (self.chores - passed * self.capacity() / self.plan.cores).max(0.0);
+            self.background_work =
+                (self.background_work - passed * self.capacity() / self.plan.cores).max(0.0);
         }
-        self.refresh(until);
-        self.attained += pace * passed;
+        self.refresh_report(until);
+        self.attained += service_rate * passed;
         self.now = until;
-        // A hair of slack, as sums of small steps do not meet an end exactly.
+        // Tolerance for rounding, as sums of small steps do not reach the end exactly.
         let attained = self.attained + 1e-6;
-        let mut ended: Vec<Work> = self.running.iter().filter(|w| w.end <= attained).copied().collect();
+        let mut ended: Vec<AcceptedJob> =
+            self.running.iter().filter(|w| w.end <= attained).copied().collect();
         if !ended.is_empty() {
             self.running.retain(|w| w.end > attained);
             ended.sort_by(|a, b| a.end.total_cmp(&b.end).then(a.id.cmp(&b.id)));
             self.served += ended.len() as f64;
-            done.extend(ended.into_iter().map(|w| Done { id: w.id, at: until, error: w.error }));
-            self.fill();
+            done.extend(ended.into_iter().map(|w| Completion { id: w.id, at: until, error: w.error }));
+            self.start_waiting();
         }
-        self.crowd();
+        self.update_queue_state();
     }
 
-    fn fill(&mut self) {
+    /// Starts queued requests while there are free slots.
+    fn start_waiting(&mut self) {
         while self.running.len() < self.plan.slots {
             let Some(next) = self.waiting.pop_front() else { break };
-            self.running.push(Work { end: self.attained + next.end, ..next });
+            self.running.push(AcceptedJob { end: self.attained + next.end, ..next });
         }
     }
 
-    /// Accepts a job; the error says why it is rejected.
-    pub fn offer(&mut self, job: Job) -> Result<(), TurnedAway> {
+    /// Accepts a job; the error tells why it is rejected.
+    pub fn offer(&mut self, job: Job) -> Result<(), Rejection> {
         match self.phase {
-            Phase::Down => return Err(TurnedAway::Down),
-            Phase::Draining => return Err(TurnedAway::Draining),
+            Phase::Down => return Err(Rejection::Down),
+            Phase::Draining => return Err(Rejection::Draining),
             Phase::Up => {}
         }
         if self.held() >= self.plan.slots + self.plan.queue {
-            return Err(TurnedAway::Full);
+            return Err(Rejection::Full);
         }
-        let work = Work { id: job.id, end: self.work_of(job), error: job.error };
+        let work = AcceptedJob { id: job.id, end: self.effective_work(job), error: job.error };
         self.waiting.push_back(work);
-        self.fill();
-        self.crowd();
+        self.start_waiting();
+        self.update_queue_state();
         Ok(())
     }
 
-    /// Work of a job here: less where its key was met lately, which this meeting renews.
-    fn work_of(&mut self, job: Job) -> f64 {
-        let cache = self.plan.keys;
+    /// The work of a job after the saving by a cached key; caches the key or renews it.
+    fn effective_work(&mut self, job: Job) -> f64 {
+        let cache = self.plan.key_cache;
         let Some(key) = job.key else { return job.work };
-        let met = self.keys.insert(key, self.now).is_some_and(|at| self.now - at <= cache.lifetime);
-        if self.keys.len() > cache.size.max(1) {
-            let oldest = self.keys.iter().min_by(|a, b| a.1.total_cmp(b.1)).map(|(k, _)| *k);
-            oldest.map(|k| self.keys.remove(&k));
+        let cached =
+            self.key_requested_at.insert(key, self.now).is_some_and(|at| self.now - at <= cache.lifetime);
+        if self.key_requested_at.len() > cache.size.max(1) {
+            let oldest = self.key_requested_at.iter().min_by(|a, b| a.1.total_cmp(b.1)).map(|(k, _)| *k);
+            oldest.map(|k| self.key_requested_at.remove(&k));
         }
-        job.work * if met { 1.0 - cache.saving } else { 1.0 }
+        job.work * if cached { 1.0 - cache.saving } else { 1.0 }
     }
 
-    /// Cancels a job whose client hung up, as far as this kind of server does; true where it was dropped.
-    pub fn hang_up(&mut self, id: u64) -> bool {
+    /// Cancels a job whose sidecar closed the connection, as far as [`ServerPlan::cancel`] says; returns whether
+    /// the job was removed.
+    pub fn cancel_job(&mut self, id: u64) -> bool {
         if self.plan.cancel == Cancel::None {
             return false;
         }
@@ -249,17 +270,17 @@
         self.waiting.retain(|w| w.id != id);
         if self.plan.cancel == Cancel::All {
             self.running.retain(|w| w.id != id);
-            self.fill();
+            self.start_waiting();
         }
         self.held() < before
     }
 
-    /// Adds work that belongs to no request.
-    pub fn chore(&mut self, work: f64) {
-        self.chores += work;
+    /// Adds work for a handshake or a probe.
+    pub fn add_background_work(&mut self, work: f64) {
+        self.background_work += work;
     }
 
-    /// Pauses until a time.
+    /// Pauses the server until a time.
     pub fn pause(&mut self, until: f64) {
         self.paused_until = self.paused_until.max(until);
     }
--- a/crates/emulator/src/server/report.rs
+++ b/crates/emulator/src/server/report.rs
@@ -1,40 +1,41 @@
-//! The load report of a server, delayed and noisy.
+//! The load report of a server, which is delayed and noisy.
 
 use super::Server;
-use crate::schedule::{factor, Reporting};
+use crate::schedule::{lognormal_factor, Reporting};
 
 /// The load figures of a server, as probes and responses carry them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Requests held.
+    /// Number of requests running or queued.
     pub inflight: f64,
-    /// Requests waiting.
+    /// Number of requests queued.
     pub queue: f64,
     /// Busy share of the cores.
     pub util: f64,
 }
 
 impl Server {
-    pub(super) fn refresh(&mut self, now: f64) {
-        let period = self.plan.report.period;
-        if now - self.figures[1].0 >= period {
+    /// Takes new figures if the refresh period has passed.
+    pub(super) fn refresh_report(&mut self, now: f64) {
+        let period = self.plan.reporting.period;
+        if now - self.reported_figures[1].0 >= period {
             let (held, queue) = (self.held() as f64, self.waiting.len() as f64);
-            let fresh = Report { inflight: held, queue, util: self.busy() };
-            self.figures = [self.figures[1], (now, fresh)];
+            let current = Report { inflight: held, queue, util: self.busy_share() };
+            self.reported_figures = [self.reported_figures[1], (now, current)];
         }
     }
 
-    /// Its current report: figures as old as the reporting delay, times a noise from this draw (0 to 1).
+    /// The current report: delayed figures times a noise factor computed from `draw` (0 to 1).
     pub fn report(&mut self, draw: f64) -> Report {
-        self.refresh(self.now);
-        let Reporting { delay, noise, .. } = self.plan.report;
-        let [(_, before), (at, last)] = self.figures;
-        let seen = if self.now - at >= delay { last } else { before };
-        let off = factor(noise, draw);
+        self.refresh_report(self.now);
+        let Reporting { delay, noise, .. } = self.plan.reporting;
+        let [(_, before), (at, last)] = self.reported_figures;
+        let visible = if self.now - at >= delay { last } else { before };
+        let noise_factor = lognormal_factor(noise, draw);
         Report {
-            inflight: (seen.inflight * off).round(),
-            queue: (seen.queue * off).round(),
-            util: (seen.util * off).clamp(0.0, 1.0),
+            inflight: (visible.inflight * noise_factor).round(),
+            queue: (visible.queue * noise_factor).round(),
+            util: (visible.util * noise_factor).clamp(0.0, 1.0),
         }
     }
 }
--- a/crates/emulator/src/simulation/config.rs
+++ b/crates/emulator/src/simulation/config.rs
@@ -6,25 +6,29 @@
 use crate::schedule::{hashed, Schedule};
 use serde_json::{json, Value};
 
-/// A time in whole microseconds, from milliseconds.
+/// Key of the draws of sidecar seeds. Changing it changes the results of every seed.
+const DRAW_SIDECAR_SEED: u64 = 43;
+
+/// Converts milliseconds to whole microseconds.
 fn micros(millis: f64) -> i64 {
     (millis * 1e3).round() as i64
 }
 
 impl<F: Fabric> Simulation<F> {
-    /// The configuration for a sidecar's start of this number, counted from 0.
+    /// The configuration of a sidecar for its start number `start`, counted from 0.
     pub fn config(&self, sidecar: usize, start: u64) -> Value {
-        let schedule = &self.plan;
-        let limits = &schedule.day.limits;
+        let schedule = &self.schedule;
+        let limits = &schedule.scenario.limits;
         let moves = self.discovery.registry.state.borrow().moves;
-        let seed = (hashed(schedule.seed, &[43, sidecar as u64, start]) * (1_u64 << 53) as f64) as u64;
+        let seed = (hashed(schedule.seed, &[DRAW_SIDECAR_SEED, sidecar as u64, start]) * (1_u64 << 53) as f64)
+            as u64;
         json!({
             "name": schedule.sidecars[sidecar].name,
             "listen": self.environment.addresses.listen(sidecar).to_string(),
             "discovery": self.environment.addresses.discovery(sidecar, moves).to_string(),
             "seed": format!("{seed:x}"),
             "limits": {"cores": 1.0, "memory_mb": limits.memory_mb, "sockets": limits.sockets},
-            "known": self.discovery.told(sidecar, None),
+            "known": self.discovery.list_json(sidecar, None),
             "settings": settings(schedule, sidecar),
         })
     }
@@ -32,9 +36,9 @@
 
 /// The settings: fleet, traffic, limits and obligations.
 fn settings(schedule: &Schedule, sidecar: usize) -> Value {
-    let scenario = &schedule.day;
-    let classes: Vec<Value> = scenario.classes.iter().map(request_class).collect();
-    let customers: Vec<Value> = scenario.tenants.iter().zip(&schedule.quotas).map(customer).collect();
+    let scenario = &schedule.scenario;
+    let classes: Vec<Value> = scenario.classes.iter().map(class_settings).collect();
+    let customers: Vec<Value> = scenario.tenants.iter().zip(&schedule.quotas).map(tenant_settings).collect();
     let how = if scenario.server.report_in_answers { "inline" } else { "on_probe" };
     json!({
         "fleet_size": schedule.sidecars.len(),
@@ -44,15 +48,15 @@
         "customers": customers,
         "over_share_worth": scenario.load.over_share_worth,
         "report": {"how": how, "names": ["active", "waiting", "cpu"]},
-        "limits": limits(&scenario.limits, scenario.server.idle_s.low),
-        "obligations": obligations(schedule),
+        "limits": limit_settings(&scenario.limits, scenario.server.idle_s.low),
+        "obligations": obligation_settings(schedule),
         "family_info": {"warm_keys": scenario.load.keys.high > 0.0},
         "prices": {"probe": 0.01, "cross_zone": 0.03, "waste": 0.04, "handshake": 0.02},
         "scoring_mix": {"worst_class": 0.2},
     })
 }
 
-fn request_class(class: &Class) -> Value {
+fn class_settings(class: &Class) -> Value {
     let effect = match class.effect {
         Effect::Safe => "retryable",
         Effect::Unsafe => "fragile",
@@ -70,12 +74,12 @@
     })
 }
 
-fn customer((tenant, quota): (&Tenant, &f64)) -> Value {
+fn tenant_settings((tenant, quota): (&Tenant, &f64)) -> Value {
     json!({"name": tenant.name, "quota_per_s": quota})
 }
 
-/// The features and limits of a sidecar; `idle_s` is the servers' shortest idle timeout of connections (s).
-fn limits(limits: &Limits, idle_s: f64) -> Value {
+/// The features and limits of a sidecar; `idle_s` is the shortest idle timeout of the servers' connections (s).
+fn limit_settings(limits: &Limits, idle_s: f64) -> Value {
     json!({
         "probes": limits.probes,
         "cancel": limits.cancel,
@@ -88,16 +92,16 @@
     })
 }
 
-/// The obligations of a sidecar, with the warm-up of servers that they depend on.
-fn obligations(schedule: &Schedule) -> Value {
-    let limits = &schedule.day.limits;
-    let colds = schedule.servers.iter().map(|s| s.cold);
+/// The obligations of a sidecar and the warm-up of servers that they depend on.
+fn obligation_settings(schedule: &Schedule) -> Value {
+    let limits = &schedule.scenario.limits;
+    let warm_ups = schedule.servers.iter().map(|s| s.warm_up);
     json!({
         "drain_grace": micros(limits.drain_grace_ms),
         "must_ask_in": 10_000_000,
         "grace_to_answer": 50_000,
         "fall_multiple": limits.fall_multiple,
-        "cold_from": colds.clone().map(|c| c.initial_share).fold(1.0, f64::min),
-        "warm_up": micros(colds.map(|c| c.time).fold(0.0, f64::max)),
+        "cold_from": warm_ups.clone().map(|c| c.initial_share).fold(1.0, f64::min),
+        "warm_up": micros(warm_ups.map(|c| c.time).fold(0.0, f64::max)),
     })
 }
--- a/crates/emulator/src/simulation/faults.rs
+++ b/crates/emulator/src/simulation/faults.rs
@@ -9,169 +9,186 @@
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
+/// Minimum interval between two pauses of [`FaultKind::Pauses`].
+const MIN_PAUSE_INTERVAL_MS: f64 = 800.0;
+/// Random part of that interval.
+const PAUSE_INTERVAL_SPREAD_MS: f64 = 1_200.0;
+/// Time for which [`FaultKind::ServersRestart`] keeps the servers down.
+const SERVERS_DOWN_MS: f64 = 1_000.0;
+/// Key of the draws of pause intervals. Changing it changes the results of every seed.
+const DRAW_PAUSE_INTERVAL: u64 = 45;
+
 impl<F: Fabric> Simulation<F> {
-    /// Plays the fault of this number from its begin to its end.
-    pub(super) async fn fault(self: Rc<Self>, number: usize) {
-        let fault = self.plan.troubles[number].clone();
-        self.until(self.day_at(fault.from)).await;
-        let until = self.day_at(fault.until);
-        let some = ((fault.order.len() as f64 * fault.part).ceil() as usize).min(fault.order.len());
-        let met = &fault.order[..some];
+    /// Plays the fault with this number from its start to its end.
+    pub(super) async fn play_fault(self: Rc<Self>, number: usize) {
+        let fault = self.schedule.faults[number].clone();
+        self.sleep_until(self.simulation_time(fault.from)).await;
+        let until = self.simulation_time(fault.until);
+        let affected_count = ((fault.order.len() as f64 * fault.part).ceil() as usize).min(fault.order.len());
+        let affected = &fault.order[..affected_count];
         match fault.kind {
-            // These are part of the arrivals, of the responses and of the announcements.
+            // Bursts are part of the drawn arrivals; corruption and stale lists are applied by the fleet and by
+            // `announce` while the fault is active.
             FaultKind::Burst | FaultKind::Garble | FaultKind::Stale => {}
-            FaultKind::Pauses => self.pauses(&fault, number, met, until).await,
+            FaultKind::Pauses => self.pause_servers(&fault, number, affected, until).await,
             FaultKind::Slow => {
-                self.slow(met, fault.size.max(1.0));
-                self.until(until).await;
-                self.slow(met, 1.0);
+                self.set_slowdown(affected, fault.size.max(1.0));
+                self.sleep_until(until).await;
+                self.set_slowdown(affected, 1.0);
             }
             FaultKind::ZoneLoss => {
                 let all = self.members();
                 let lost = all.into_iter().filter(|m| m.model.borrow().plan.zone == fault.zone).collect();
-                self.lose(&fault, lost, until).await;
+                self.take_down(&fault, lost, until).await;
             }
             FaultKind::Vanish => {
-                let lost = met.iter().map(|s| self.member(*s)).collect();
-                self.lose(&fault, lost, until).await;
+                let lost = affected.iter().map(|s| self.member(*s)).collect();
+                self.take_down(&fault, lost, until).await;
             }
-            FaultKind::Shrink => self.shrink(&fault, met).await,
+            FaultKind::Shrink => self.drain_servers(&fault, affected).await,
             FaultKind::DiscoveryDown => {
                 let moves = self.discovery.registry.state.borrow().moves;
                 self.discovery.registry.state.send_replace(ServiceState { runs: false, moves });
-                self.until(until).await;
+                self.sleep_until(until).await;
                 self.discovery.registry.state.send_replace(ServiceState { runs: true, moves });
             }
-            FaultKind::Churn => self.churn(&fault, until).await,
+            FaultKind::Churn => self.replace_servers(&fault, until).await,
             FaultKind::Rude => {
-                for sidecar in met {
+                for sidecar in affected {
                     spawn_local(self.misbehaving.clone().send_until(*sidecar, fault.size, until));
                 }
             }
-            FaultKind::Reload => self.reload(&fault).await,
+            FaultKind::Reload => self.reload_repeatedly(&fault).await,
             FaultKind::Restart => {
-                for sidecar in met {
+                for sidecar in affected {
                     self.restart(*sidecar).await;
                 }
             }
-            FaultKind::Kill => self.kill_some(&fault, met).await,
+            FaultKind::Kill => self.kill_sidecars(&fault, affected).await,
             FaultKind::ServersRestart => self.restart_servers().await,
         }
     }
 
-    /// Pauses servers every 0.8 to 2 s.
-    async fn pauses(&self, fault: &ScheduledFault, number: usize, met: &[usize], until: f64) {
-        let draw = |round: u64| hashed(self.plan.seed, &[45, number as u64, round]);
+    /// Pauses servers repeatedly, with random intervals.
+    async fn pause_servers(&self, fault: &ScheduledFault, number: usize, affected: &[usize], until: f64) {
+        let draw = |round: u64| hashed(self.schedule.seed, &[DRAW_PAUSE_INTERVAL, number as u64, round]);
         let mut round = 0;
         while self.now() < until {
-            for server in met {
+            for server in affected {
                 let now = self.now();
-                self.member(*server).with(now, |m| m.pause(now + fault.size));
+                self.member(*server).update(now, |m| m.pause(now + fault.size));
             }
             round += 1;
-            self.sleep(800.0 + 1_200.0 * draw(round)).await;
+            self.sleep(MIN_PAUSE_INTERVAL_MS + PAUSE_INTERVAL_SPREAD_MS * draw(round)).await;
         }
     }
 
-    /// Makes servers so many times slower.
-    fn slow(&self, met: &[usize], times: f64) {
-        for server in met {
-            self.member(*server).with(self.now(), |m| m.slowed = times);
+    /// Makes servers slower by a factor.
+    fn set_slowdown(&self, affected: &[usize], factor: f64) {
+        for server in affected {
+            self.member(*server).update(self.now(), |m| m.slowdown = factor);
         }
     }
 
     /// Drains servers one after another.
-    async fn shrink(self: &Rc<Self>, fault: &ScheduledFault, met: &[usize]) {
-        let step = (fault.until - fault.from) / met.len().max(1) as f64;
-        for server in met {
+    async fn drain_servers(self: &Rc<Self>, fault: &ScheduledFault, affected: &[usize]) {
+        let interval = (fault.until - fault.from) / affected.len().max(1) as f64;
+        for server in affected {
             let (simulation, member) = (self.clone(), self.member(*server));
             spawn_local(async move { simulation.drain(&member).await });
-            self.sleep(step).await;
+            self.sleep(interval).await;
         }
     }
 
     /// Moves discovery and replaces the configurations at even intervals.
-    async fn reload(&self, fault: &ScheduledFault) {
+    async fn reload_repeatedly(&self, fault: &ScheduledFault) {
         let times = fault.size.max(1.0) as usize;
-        let step = (fault.until - fault.from) / times as f64;
+        let interval = (fault.until - fault.from) / times as f64;
         for _ in 0..times {
             self.discovery.registry.state.send_modify(|state| state.moves += 1);
             self.reload_sidecars();
-            self.sleep(step).await;
+            self.sleep(interval).await;
         }
     }
 
     /// Kills sidecars one after another; each starts again later.
-    async fn kill_some(self: &Rc<Self>, fault: &ScheduledFault, met: &[usize]) {
-        for sidecar in met.iter().filter(|s| self.applications.asks(**s)) {
+    async fn kill_sidecars(self: &Rc<Self>, fault: &ScheduledFault, affected: &[usize]) {
+        for sidecar in affected.iter().filter(|s| self.applications.is_sending(**s)) {
             let (simulation, sidecar, after) = (self.clone(), *sidecar, fault.size * 1e3);
             simulation.kill(sidecar);
             spawn_local(async move {
                 simulation.sleep(after).await;
-                simulation.begin_again(sidecar).await;
+                simulation.restart_exited(sidecar).await;
             });
-            self.sleep((fault.until - fault.from) / met.len().max(1) as f64).await;
+            self.sleep((fault.until - fault.from) / affected.len().max(1) as f64).await;
         }
     }
 
-    /// Stops all servers at once and starts them a second later.
+    /// Stops all servers at the same time and starts them again after [`SERVERS_DOWN_MS`].
     async fn restart_servers(self: &Rc<Self>) {
         let members = self.members();
-        let up: Vec<_> = members.iter().filter(|m| m.in_service()).cloned().collect();
-        up.iter().for_each(|m| m.die(self.now()));
-        self.sleep(1_000.0).await;
-        up.iter().for_each(|m| self.start_server(m));
+        let in_service: Vec<_> = members.iter().filter(|m| m.in_service()).cloned().collect();
+        in_service.iter().for_each(|m| m.stop(self.now()));
+        self.sleep(SERVERS_DOWN_MS).await;
+        in_service.iter().for_each(|m| self.start_server(m));
     }
 
-    /// Cuts servers off or stops them, with the sidecars of their zone where the fault says so. At `until`
-    /// (ms) all of them start again, the servers cold.
-    async fn lose(self: &Rc<Self>, fault: &ScheduledFault, lost: Vec<Rc<Member>>, until: f64) {
+    /// Partitions or stops servers and, if the fault says so, kills the sidecars of the zone. At `until` (ms)
+    /// all of them start again, the servers cold.
+    async fn take_down(self: &Rc<Self>, fault: &ScheduledFault, lost: Vec<Rc<Member>>, until: f64) {
         let lost: Vec<_> = lost.into_iter().filter(|m| m.in_service()).collect();
         for member in &lost {
             if fault.silent {
                 member.reachability.send_replace(Reachability::Cut);
             } else {
-                member.die(self.now());
+                member.stop(self.now());
             }
-            self.announce(member.number, ListedStatus::Terminated, self.plan.discovery.silent_notice);
+            self.announce(
+                member.number,
+                ListedStatus::Terminated,
+                self.schedule.discovery.silent_notice_delay,
+            );
         }
-        let beside = (0..self.plan.sidecars.len()).filter(|s| {
-            fault.sidecars && self.plan.sidecars[*s].zone == fault.zone && self.applications.asks(*s)
+        let affected_sidecars = (0..self.schedule.sidecars.len()).filter(|s| {
+            fault.sidecars
+                && self.schedule.sidecars[*s].zone == fault.zone
+                && self.applications.is_sending(*s)
         });
-        let beside: Vec<usize> = beside.collect();
-        beside.iter().for_each(|s| self.kill(*s));
-        self.until(until).await;
+        let affected_sidecars: Vec<usize> = affected_sidecars.collect();
+        affected_sidecars.iter().for_each(|s| self.kill(*s));
+        self.sleep_until(until).await;
         for member in &lost {
-            // What was cut off has started anew meanwhile.
-            member.die(self.now());
+            // A partitioned server comes back as a new process, like a stopped one.
+            member.stop(self.now());
             self.start_server(member);
         }
-        for sidecar in beside {
+        for sidecar in affected_sidecars {
             let simulation = self.clone();
-            spawn_local(async move { simulation.begin_again(sidecar).await });
+            spawn_local(async move { simulation.restart_exited(sidecar).await });
         }
     }
 
-    async fn churn(self: &Rc<Self>, fault: &ScheduledFault, until: f64) {
-        let step = 60_000.0 / fault.size.max(0.1);
+    /// Replaces servers one after another, alternately at a new address and at the old one.
+    async fn replace_servers(self: &Rc<Self>, fault: &ScheduledFault, until: f64) {
+        let interval = 60_000.0 / fault.size.max(0.1);
         let mut round = 0;
-        while self.now() + step < until {
-            let up: Vec<_> = self.members().into_iter().filter(|m| m.in_service()).collect();
-            let Some(oldest) = up.first().cloned() else { return };
+        while self.now() + interval < until {
+            let in_service: Vec<_> = self.members().into_iter().filter(|m| m.in_service()).collect();
+            let Some(oldest) = in_service.first().cloned() else { return };
             let zone = oldest.model.borrow().plan.zone;
-            let same_place = round % 2 == 1;
+            let reuse_address = round % 2 == 1;
             let simulation = self.clone();
             spawn_local(async move {
-                if !same_place {
+                if !reuse_address {
                     simulation.add_server(zone, None);
                 }
                 simulation.drain(&oldest).await;
-                if same_place {
-                    simulation.add_server(zone, Some(oldest.place));
+                if reuse_address {
+                    simulation.add_server(zone, Some(oldest.address_index));
                 }
             });
             round += 1;
-            self.sleep(step).await;
+            self.sleep(interval).await;
         }
     }
 }
--- a/crates/emulator/src/simulation/mod.rs
+++ b/crates/emulator/src/simulation/mod.rs
@@ -20,23 +20,26 @@
 use crate::misbehaving::MisbehavingClients;
 use crate::schedule::Schedule;
 use crate::server::Server;
-use servers::server_seed;
+use servers::{server_seed, DRAW_INITIAL_SERVER_SEED};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use tokio::task::{spawn_local, JoinHandle};
 
+/// Delay between the readiness of all sidecars and the start of the scenario.
+const SCENARIO_START_DELAY_MS: f64 = 50.0;
+
 /// The simulation of a scenario on one kind of network.
 ///
-/// The fields [`Simulation::plan`] and [`Simulation::ledger`] are those of the environment.
+/// [`Simulation::schedule`] and [`Simulation::accounting`] are those of the environment.
 pub struct Simulation<F: Fabric> {
     /// The state that all parties share.
     pub environment: Rc<Environment<F>>,
     /// The schedule of the scenario, as drawn by its seed.
-    pub plan: Rc<Schedule>,
+    pub schedule: Rc<Schedule>,
     /// The discovery service.
     discovery: Rc<discovery::Service<F>>,
     /// The request accounting.
-    pub ledger: Rc<RefCell<RequestAccounting>>,
+    pub accounting: Rc<RefCell<RequestAccounting>>,
     /// The state of the fleet in each second.
     pub samples: RefCell<Vec<Sample>>,
     /// Mean work of the scheduled requests (ms of a standard core).
@@ -48,11 +51,12 @@
     /// The clients of the scenario.
     pub clients: Rc<Clients<F>>,
     sidecars: Rc<dyn Sidecars>,
+    /// Whether all flows have ended, so that no sidecar is started again.
     ending: Cell<bool>,
 }
 
 impl<F: Fabric> Simulation<F> {
-    /// Creates a simulation that has not started; `epoch` is the Unix time (ms) that its clock shows then.
+    /// Creates a simulation without starting its parties; `epoch` is the current Unix time (ms) of its clock.
     pub fn new(
         fabric: F,
         schedule: Schedule,
@@ -63,7 +67,8 @@
         let mean_work =
             schedule.arrivals.iter().map(|a| a.work).sum::<f64>() / schedule.arrivals.len().max(1) as f64;
         let members = schedule.servers.iter().enumerate().map(|(n, server)| {
-            let model = Server::new(server.clone(), server_seed(&schedule, 41, n), mean_work);
+            let model =
+                Server::new(server.clone(), server_seed(&schedule, DRAW_INITIAL_SERVER_SEED, n), mean_work);
             Member::new(n, n, model)
         });
         let members = Rc::new(Members::new(members.collect()));
@@ -73,7 +78,7 @@
         let schedule = environment.schedule.clone();
         Rc::new(Simulation {
             discovery: discovery::Service::new(environment.clone(), members.clone()),
-            ledger: environment.accounting.clone(),
+            accounting: environment.accounting.clone(),
             samples: RefCell::default(),
             mean_work,
             clients: Clients::new(environment.clone(), applications.clone(), members.clone()),
@@ -84,18 +89,18 @@
             sidecars,
             ending: Cell::new(false),
             environment,
-            plan: schedule,
+            schedule,
         })
     }
 
-    /// The time since the simulation's start (ms).
+    /// The time since the start of the simulation (ms).
     pub fn now(&self) -> f64 {
         self.environment.clock.now()
     }
 
     /// Waits until a time (ms).
-    pub async fn until(&self, at: f64) {
-        self.environment.clock.until(at).await;
+    pub async fn sleep_until(&self, at: f64) {
+        self.environment.clock.sleep_until(at).await;
     }
 
     /// Waits for a duration (ms).
@@ -103,17 +108,17 @@
         self.environment.clock.sleep(millis).await;
     }
 
-    /// Converts a time since the scenario's begin to one since the simulation's start (ms).
-    pub fn day_at(&self, at: f64) -> f64 {
-        self.environment.clock.day_at(at)
+    /// Converts a time since the start of the scenario to a time since the start of the simulation (ms).
+    pub fn simulation_time(&self, at: f64) -> f64 {
+        self.environment.clock.simulation_time(at)
     }
 
-    /// When the scenario began (ms).
-    pub fn day_start(&self) -> f64 {
-        self.environment.clock.day_start()
+    /// The time at which the scenario started (ms).
+    pub fn scenario_start(&self) -> f64 {
+        self.environment.clock.scenario_start()
     }
 
-    /// The server of a number. Panics where there is none.
+    /// The server with a number. Panics if there is none.
     pub fn member(&self, number: usize) -> Rc<Member> {
         self.members.get(number)
     }
@@ -123,33 +128,33 @@
         self.members.all()
     }
 
-    /// Plays the scenario to its end. The error is that of the first sidecar that could not be started.
+    /// Plays the scenario to its end; returns the error of the first sidecar that could not be started.
     pub async fn play(self: &Rc<Self>) -> Result<(), String> {
-        self.open();
+        self.start_services();
         tokio::task::yield_now().await;
         self.start_all().await?;
-        self.environment.clock.begin_day(self.now() + 50.0);
-        let watch = spawn_local(self.clone().watch());
-        let sample = spawn_local(self.clone().sample());
+        self.environment.clock.start_scenario(self.now() + SCENARIO_START_DELAY_MS);
+        let checks = spawn_local(self.clone().check_processes());
+        let sampling = spawn_local(self.clone().take_samples());
         let faults: Vec<_> =
-            (0..self.plan.troubles.len()).map(|t| spawn_local(self.clone().fault(t))).collect();
-        self.until(self.day_start()).await;
-        self.clients.clone().ask().await;
+            (0..self.schedule.faults.len()).map(|t| spawn_local(self.clone().play_fault(t))).collect();
+        self.sleep_until(self.scenario_start()).await;
+        self.clients.clone().run().await;
         self.ending.set(true);
-        let longest = self.plan.day.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
-        self.until(self.day_at(self.plan.day.length_s * 1e3 + longest)).await;
-        sample.abort();
+        let longest = self.schedule.scenario.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
+        self.sleep_until(self.simulation_time(self.schedule.scenario.length_s * 1e3 + longest)).await;
+        sampling.abort();
         self.compare_counters().await;
-        watch.abort();
+        checks.abort();
         faults.iter().for_each(JoinHandle::abort);
-        self.expect_ends();
+        self.expect_exits();
         Ok(())
     }
 
     /// Starts the servers and the discovery service.
-    fn open(self: &Rc<Self>) {
+    fn start_services(self: &Rc<Self>) {
         self.members().iter().for_each(|member| self.fleet.serve(member));
-        for sidecar in 0..self.plan.sidecars.len() {
+        for sidecar in 0..self.schedule.sidecars.len() {
             spawn_local(self.discovery.clone().listen(sidecar));
         }
     }
--- a/crates/emulator/src/simulation/observers.rs
+++ b/crates/emulator/src/simulation/observers.rs
@@ -1,4 +1,4 @@
-//! Observers of a simulation: checks of the sidecars' processes and counters, and samples of the fleet.
+//! Observers of a simulation: checks of the sidecar processes and counters, and samples of the fleet.
 
 use super::Simulation;
 use crate::accounting::{Rule, TryEnd};
@@ -6,41 +6,46 @@
 use serde::Serialize;
 use std::rc::Rc;
 
-/// Interval of the checks of the sidecars' processes (ms).
-const LOOK: f64 = 100.0;
+/// Interval of the checks of the sidecar processes.
+const PROCESS_CHECK_INTERVAL_MS: f64 = 100.0;
 
-/// The state of the fleet in one second.
+/// The state of the fleet in one second. The field names are keys of the series.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Sample {
     /// The second of the scenario, counted from 0.
     pub second: usize,
-    /// Requests held by each server; -1 where it is not in service.
+    /// Number of requests held by each server; -1 if it is not in service.
     pub held: Vec<f64>,
     /// Number of servers degraded by long queues.
     pub slow: usize,
-    /// Capacity in service as a share of the warm fleet's.
+    /// Capacity in service as a share of the capacity of the warm fleet.
     pub capacity: f64,
     /// Idle share of the cores of the servers in service.
     pub idle: f64,
 }
 
 impl<F: Fabric> Simulation<F> {
-    /// Checks the processes of all sidecars until it is aborted.
-    pub(super) async fn watch(self: Rc<Self>) {
+    /// Checks the processes of all sidecars periodically, until aborted.
+    pub(super) async fn check_processes(self: Rc<Self>) {
         loop {
-            self.sleep(LOOK).await;
-            for sidecar in 0..self.plan.sidecars.len() {
-                self.look_at(sidecar);
+            self.sleep(PROCESS_CHECK_INTERVAL_MS).await;
+            for sidecar in 0..self.schedule.sidecars.len() {
+                self.check_process(sidecar);
             }
         }
     }
 
-    /// Checks that a process runs, and its descriptors and memory against their limits.
-    fn look_at(&self, sidecar: usize) {
-        let limits = &self.plan.day.limits;
-        let (descriptors, memory) = self.sidecars.holds(sidecar);
+    /// Checks that a process is running and that its descriptors and memory are within their limits.
+    fn check_process(&self, sidecar: usize) {
+        let limits = &self.schedule.scenario.limits;
+        let (descriptors, memory) = self.sidecars.resource_use(sidecar);
         if let Some(held) = descriptors {
-            self.environment.accounting.borrow_mut().holds(self.now(), sidecar, held, limits.sockets);
+            self.environment.accounting.borrow_mut().record_descriptors(
+                self.now(),
+                sidecar,
+                held,
+                limits.sockets,
+            );
         }
         if let Some(mb) = memory.filter(|mb| *mb > limits.memory_mb) {
             self.environment.record_violation(
@@ -50,35 +55,40 @@
                 format!("{mb:.1} of {} MB", limits.memory_mb),
             );
         }
-        let meant = self.applications.meant(sidecar);
-        if meant && self.sidecars.ended(sidecar) {
-            self.environment.record_violation(Rule::Crash, sidecar, None, "it ended".into());
+        let should_run = self.applications.should_run(sidecar);
+        if should_run && self.sidecars.ended(sidecar) {
+            self.environment.record_violation(
+                Rule::Crash,
+                sidecar,
+                None,
+                "process exited without being told to".into(),
+            );
             self.kill(sidecar);
         }
     }
 
-    /// Takes a sample each second of the scenario.
-    pub(super) async fn sample(self: Rc<Self>) {
+    /// Takes a sample in the middle of each second of the scenario, until aborted.
+    pub(super) async fn take_samples(self: Rc<Self>) {
         for second in 0.. {
-            self.until(self.day_at(second as f64 * 1e3 + 500.0)).await;
-            let sample = self.sample_of(second);
+            self.sleep_until(self.simulation_time(second as f64 * 1e3 + 500.0)).await;
+            let sample = self.fleet_sample(second);
             self.samples.borrow_mut().push(sample);
         }
     }
 
-    fn sample_of(&self, second: usize) -> Sample {
-        let whole = self.plan.capacity();
+    fn fleet_sample(&self, second: usize) -> Sample {
+        let warm_capacity = self.schedule.capacity();
         let mut sample = Sample { second, ..Sample::default() };
         let (mut cores, mut idle) = (0.0, 0.0);
         for member in self.members() {
-            member.touch(self.now());
+            member.advance(self.now());
             let up = member.in_service();
             let model = member.model.borrow();
             let held = model.held() as f64;
             sample.held.push(if up { held } else { -1.0 });
             if up {
-                sample.slow += usize::from(model.slow());
-                sample.capacity += model.capacity() / whole;
+                sample.slow += usize::from(model.is_degraded());
+                sample.capacity += model.capacity() / warm_capacity;
                 cores += model.plan.cores;
                 idle += (model.plan.cores - held).max(0.0);
             }
@@ -87,40 +97,43 @@
         sample
     }
 
-    /// Compares the sidecars' counters with the request accounting.
+    /// Compares the counters of the sidecars with the request accounting. Sidecars that were restarted are
+    /// skipped, as their counters started at 0 again.
     pub(super) async fn compare_counters(&self) {
-        for sidecar in 0..self.plan.sidecars.len() {
-            if self.applications.starts(sidecar) != 1 || !self.applications.asks(sidecar) {
+        for sidecar in 0..self.schedule.sidecars.len() {
+            if self.applications.start_count(sidecar) != 1 || !self.applications.is_sending(sidecar) {
                 continue;
             }
             let Some(answer) = self.call(sidecar, "/health/counters").await else { continue };
             let text = String::from_utf8_lossy(&answer.body).into_owned();
-            for what in self.counter_faults(sidecar, &text) {
-                self.environment.record_violation(Rule::Books, sidecar, None, what);
+            for difference in self.counter_differences(sidecar, &text) {
+                self.environment.record_violation(Rule::Books, sidecar, None, difference);
             }
         }
     }
 
-    /// The differences between a sidecar's counters and the request accounting.
-    fn counter_faults(&self, sidecar: usize, text: &str) -> Vec<String> {
+    /// Describes each difference between a sidecar's counters and the request accounting.
+    fn counter_differences(&self, sidecar: usize, text: &str) -> Vec<String> {
         let (mut taken, mut served, mut refused) = (0, 0, 0);
         let accounting = self.environment.accounting.borrow();
         let of_sidecar =
-            accounting.tries.iter().filter(|t| self.plan.arrivals[t.flow].sidecar == sidecar && t.taken);
-        for one in of_sidecar {
+            accounting.tries.iter().filter(|t| self.schedule.arrivals[t.flow].sidecar == sidecar && t.taken);
+        for record in of_sidecar {
             taken += 1;
-            served += u64::from(one.end == TryEnd::Served);
-            refused += u64::from(matches!(one.end, TryEnd::Refused(_)));
+            served += u64::from(record.end == TryEnd::Served);
+            refused += u64::from(matches!(record.end, TryEnd::Refused(_)));
         }
         let pairs = [("flows_taken", taken), ("flows_served", served), ("flows_refused", refused)];
         let differ = pairs.into_iter().filter(|(name, counted)| counter(text, name) != *counted);
         differ
-            .map(|(name, counted)| format!("{name} {} there, {counted} here", counter(text, name)))
+            .map(|(name, counted)| {
+                format!("{name}: sidecar counted {}, emulator {counted}", counter(text, name))
+            })
             .collect()
     }
 }
 
-/// The value of a counter in a sidecar's counters page; 0 where it is absent or no number.
+/// The value of a counter in a sidecar's counters page; 0 if it is absent or not a number.
 fn counter(text: &str, name: &str) -> u64 {
     let line = text.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(' '));
     line.and_then(|v| v.trim().parse().ok()).unwrap_or(0)
