--- a/crates/emulator/src/simulation/servers.rs
+++ b/crates/emulator/src/simulation/servers.rs
@@ -1,4 +1,4 @@
-//! The life cycle of servers during a simulation, and its announcements to discovery.
+//! The life cycle of servers during a simulation and its announcements to discovery.
 
 use super::Simulation;
 use crate::discovery::ListedStatus;
@@ -10,30 +10,35 @@
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
-/// Least time between the begin of a drain and the end of the process (ms).
-const DRAIN: f64 = 4_000.0;
+/// Minimum time from the start of a drain to the end of the process.
+const MIN_DRAIN_MS: f64 = 4_000.0;
+/// Minimum time from the listing of a drain to the end of the process.
+const DRAIN_AFTER_NOTICE_MS: f64 = 2_000.0;
+/// Keys of the draws of model seeds. Changing one changes the results of every seed.
+pub(super) const DRAW_INITIAL_SERVER_SEED: u64 = 41;
+const DRAW_ADDED_SERVER_SEED: u64 = 44;
 
-/// The seed of a server's model; `purpose` separates the first servers from those added later.
+/// The seed of a server's model; `purpose` distinguishes initial servers from added ones.
 pub(super) fn server_seed(schedule: &Schedule, purpose: u64, number: usize) -> u64 {
     (hashed(schedule.seed, &[purpose, number as u64]) * 1e15) as u64
 }
 
 impl<F: Fabric> Simulation<F> {
-    /// Announces a server's status to discovery, which applies it after `delay` (ms), and later during a
-    /// fault of stale discovery.
+    /// Announces a server's status to discovery, which applies it after `delay` (ms), plus the delay of an
+    /// active [`FaultKind::Stale`].
     pub(super) fn announce(self: &Rc<Self>, server: usize, status: ListedStatus, delay: f64) {
         let number = self.discovery.registry.announce(server);
         let simulation = self.clone();
         let up_since = self.environment.clock.unix_now();
         spawn_local(async move {
             let stale: f64 = simulation
-                .plan
-                .active(FaultKind::Stale, simulation.now() - simulation.day_start())
+                .schedule
+                .active(FaultKind::Stale, simulation.now() - simulation.scenario_start())
                 .map(|t| t.size * 1e3)
                 .sum();
             simulation.sleep(delay + stale).await;
             if simulation.discovery.registry.apply(server, number, status, up_since) {
-                simulation.environment.accounting.borrow_mut().list_has(
+                simulation.environment.accounting.borrow_mut().record_registry_change(
                     simulation.now(),
                     server,
                     status == ListedStatus::InService,
@@ -45,28 +50,30 @@
     /// Starts a new, cold process of a server and announces it.
     pub(super) fn start_server(self: &Rc<Self>, member: &Rc<Member>) {
         member.start(self.now(), self.fleet.next_draw());
-        self.announce(member.number, ListedStatus::InService, self.plan.discovery.add);
+        self.announce(member.number, ListedStatus::InService, self.schedule.discovery.add_delay);
     }
 
-    /// Drains a server, then stops it, and announces both.
+    /// Drains a server and then stops it; announces both.
     pub(super) async fn drain(self: &Rc<Self>, member: &Rc<Member>) {
-        member.with(self.now(), |m| m.phase = Phase::Draining);
-        self.announce(member.number, ListedStatus::Terminating, self.plan.discovery.notice);
-        let until = self.now() + DRAIN.max(self.plan.discovery.notice + 2_000.0);
-        self.until(until).await;
-        member.die(self.now());
-        self.announce(member.number, ListedStatus::Terminated, self.plan.discovery.notice);
+        member.update(self.now(), |m| m.phase = Phase::Draining);
+        self.announce(member.number, ListedStatus::Terminating, self.schedule.discovery.notice_delay);
+        let until =
+            self.now() + MIN_DRAIN_MS.max(self.schedule.discovery.notice_delay + DRAIN_AFTER_NOTICE_MS);
+        self.sleep_until(until).await;
+        member.stop(self.now());
+        self.announce(member.number, ListedStatus::Terminated, self.schedule.discovery.notice_delay);
     }
 
-    /// Adds a server with a new id, at an address of its own or at that of one that has gone.
-    pub(super) fn add_server(self: &Rc<Self>, zone: usize, place: Option<usize>) {
+    /// Adds a server with a new id, at a new address or at the address of a server that has gone.
+    pub(super) fn add_server(self: &Rc<Self>, zone: usize, address_index: Option<usize>) {
         let number = self.members.count();
-        let plan = self.plan.replacement(number - self.plan.servers.len(), zone);
-        let model = Server::new(plan, server_seed(&self.plan, 44, number), self.mean_work);
-        let member = Member::new(number, place.unwrap_or(number), model);
+        let plan = self.schedule.replacement(number - self.schedule.servers.len(), zone);
+        let model =
+            Server::new(plan, server_seed(&self.schedule, DRAW_ADDED_SERVER_SEED, number), self.mean_work);
+        let member = Member::new(number, address_index.unwrap_or(number), model);
         self.members.push(member.clone());
-        member.with(self.now(), |m| m.start(self.now()));
+        member.update(self.now(), |m| m.start(self.now()));
         self.fleet.serve(&member);
-        self.announce(number, ListedStatus::InService, self.plan.discovery.add);
+        self.announce(number, ListedStatus::InService, self.schedule.discovery.add_delay);
     }
 }
--- a/crates/emulator/tests/memory.rs
+++ b/crates/emulator/tests/memory.rs
@@ -1,7 +1,7 @@
-//! Streams in memory behave as TCP's do: data, half closes, resets, full buffers, refused and silent connects.
+//! In-memory streams behave like TCP: data, half closes, resets, full buffers, refused and hanging connects.
 
 use roseproxy_emulator::fabric::Fabric;
-use roseproxy_emulator::memory::{Memory, MemoryStream, Waiting, BUFFER};
+use roseproxy_emulator::memory::{Memory, MemoryStream, PeekResult, PIPE_CAPACITY_BYTES};
 use std::cell::Cell;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -13,18 +13,18 @@
     tokio::task::LocalSet::new().block_on(&runtime.expect("a runtime"), test);
 }
 
-fn place() -> SocketAddr {
+fn address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 7))
 }
 
 #[test]
-fn data_and_a_half_close_pass() {
+fn data_passes_in_both_directions_around_a_half_close() {
     run(async {
         let (mut a, mut b) = MemoryStream::pair();
-        assert_eq!(b.peek()(), Waiting::Nothing);
-        a.write_all(b"hello").await.expect("room");
-        a.shutdown().await.expect("open");
-        assert_eq!(b.peek()(), Waiting::Bytes);
+        assert_eq!(b.peek()(), PeekResult::Empty);
+        a.write_all(b"hello").await.expect("free buffer space");
+        a.shutdown().await.expect("an open stream");
+        assert_eq!(b.peek()(), PeekResult::Data);
         let mut text = String::new();
         b.read_to_string(&mut text).await.expect("data");
         assert_eq!(text, "hello");
@@ -35,11 +35,11 @@
 }
 
 #[test]
-fn a_write_into_a_closed_end_is_taken_and_answered_by_a_reset() {
+fn a_write_to_a_closed_peer_succeeds_and_is_answered_by_a_reset() {
     run(async {
         let (mut a, b) = MemoryStream::pair();
         drop(b);
-        assert_eq!(a.write(b"x").await.expect("the socket takes it"), 1);
+        assert_eq!(a.write(b"x").await.expect("the write succeeds"), 1);
         let error = a.read(&mut [0]).await.expect_err("the reset");
         assert_eq!(error.kind(), ErrorKind::ConnectionReset);
         assert_eq!(a.write(b"x").await.expect_err("broken").kind(), ErrorKind::BrokenPipe);
@@ -47,44 +47,44 @@
 }
 
 #[test]
-fn closing_with_bytes_unread_resets() {
+fn closing_with_unread_bytes_resets() {
     run(async {
         let (mut a, b) = MemoryStream::pair();
-        a.write_all(b"x").await.expect("room");
+        a.write_all(b"x").await.expect("free buffer space");
         drop(b);
         assert_eq!(a.read(&mut [0]).await.expect_err("a reset").kind(), ErrorKind::ConnectionReset);
     });
 }
 
 #[test]
-fn a_full_pipe_holds_its_writer() {
+fn a_full_pipe_blocks_its_writer() {
     run(async {
         let (mut a, mut b) = MemoryStream::pair();
-        let all = vec![0; BUFFER + 5];
-        let writing = tokio::task::spawn_local(async move { a.write_all(&all).await });
+        let data = vec![0; PIPE_CAPACITY_BYTES + 5];
+        let writing = tokio::task::spawn_local(async move { a.write_all(&data).await });
         tokio::task::yield_now().await;
         assert!(!writing.is_finished());
         let mut read = Vec::new();
         b.read_to_end(&mut read).await.expect("data");
-        assert_eq!(read.len(), BUFFER + 5);
+        assert_eq!(read.len(), PIPE_CAPACITY_BYTES + 5);
     });
 }
 
 #[test]
-fn connects_are_refused_muted_and_taken() {
+fn connects_are_refused_blocked_and_accepted() {
     run(async {
         let memory = Memory::default();
-        let refused = memory.connect(place()).await.expect_err("nobody listens");
+        let refused = memory.connect(address()).await.expect_err("no listener");
         assert_eq!(refused.kind(), ErrorKind::ConnectionRefused);
-        let mute = memory.mute(place()).await.expect("muted");
-        let patience = std::time::Duration::from_secs(3);
-        assert!(tokio::time::timeout(patience, memory.connect(place())).await.is_err(), "it hangs");
-        drop(mute);
-        let listener = memory.bind(place()).await.expect("free");
-        assert_eq!(memory.bind(place()).await.expect_err("taken").kind(), ErrorKind::AddrInUse);
+        let block = memory.block_connects(address()).await.expect("blocked");
+        let wait = std::time::Duration::from_secs(3);
+        assert!(tokio::time::timeout(wait, memory.connect(address())).await.is_err(), "the connect hangs");
+        drop(block);
+        let listener = memory.bind(address()).await.expect("a free address");
+        assert_eq!(memory.bind(address()).await.expect_err("an address in use").kind(), ErrorKind::AddrInUse);
         let count = Rc::new(Cell::new(0));
-        let ours = memory.connect(place()).await.expect("listens").counted(&count);
-        let theirs = memory.accept(&listener).await.expect("came").counted(&count);
+        let ours = memory.connect(address()).await.expect("a listener").counted_in(&count);
+        let theirs = memory.accept(&listener).await.expect("a waiting stream").counted_in(&count);
         assert_eq!(count.get(), 2);
         drop((ours, theirs));
         assert_eq!(count.get(), 0);
--- a/crates/emulator/tests/server.rs
+++ b/crates/emulator/tests/server.rs
@@ -1,20 +1,21 @@
-//! The model of one server: sharing, turning away, keys, warmth, crowding, pauses, hang-ups and reports.
+//! The model of one server: sharing of cores, rejection, key cache, warm-up, degradation, pauses, cancellation
+//! and load reports.
 
 use roseproxy_emulator::scenario::{Cancel, Scenario};
 use roseproxy_emulator::schedule::{
-    Choke, ConnectionTable, KeyCache, Reporting, Schedule, ShortPauses, Thrashing, WarmUp,
+    ConnectionTable, DegradationPlan, KeyCache, Reporting, Schedule, ShortPauses, Thrashing, WarmUp,
 };
-use roseproxy_emulator::server::{Job, Phase, Server, TurnedAway};
+use roseproxy_emulator::server::{Job, Phase, Rejection, Server};
 
 fn server() -> Server {
-    let day = Scenario::read("test", "name = 'test'").expect("a day");
-    let mut plan = Schedule::draw(&day, 3).servers[0].clone();
+    let scenario = Scenario::parse("test", "name = 'test'").expect("a valid scenario");
+    let mut plan = Schedule::draw(&scenario, 3).servers[0].clone();
     (plan.cores, plan.speed, plan.slots, plan.queue) = (2.0, 1.0, 4, 6);
-    plan.thrash = Thrashing { loss: 0.0, threshold: 10.0 };
-    plan.pause = ShortPauses { interval: 1e9, length: 0.0 };
-    plan.conns = ConnectionTable { size: 100, full_cost: 0.0 };
-    plan.keys = KeyCache { saving: 0.5, lifetime: 1000.0, size: 8 };
-    plan.choke = None;
+    plan.thrashing = Thrashing { loss: 0.0, threshold: 10.0 };
+    plan.pauses = ShortPauses { interval: 1e9, length: 0.0 };
+    plan.connection_table = ConnectionTable { size: 100, full_cost: 0.0 };
+    plan.key_cache = KeyCache { saving: 0.5, lifetime: 1000.0, size: 8 };
+    plan.degradation = None;
     Server::new(plan, 1, 100.0)
 }
 
@@ -29,107 +30,114 @@
 }
 
 #[test]
-fn requests_share_the_cores_and_wait_their_turn() {
-    let mut s = server();
+fn running_requests_share_the_cores_and_others_are_queued() {
+    let mut server = server();
     for id in 0..5 {
-        s.offer(job(id, 100.0)).expect("room");
+        server.offer(job(id, 100.0)).expect("a free slot");
     }
-    assert_eq!((s.held(), s.waiting()), (5, 1));
-    // Four share two cores: each gets half of one. The fifth has one to itself then.
-    assert_eq!(ends(&mut s, 1000.0), [(0, 200.0), (1, 200.0), (2, 200.0), (3, 200.0), (4, 300.0)]);
+    assert_eq!((server.held(), server.waiting()), (5, 1));
+    // Four requests share two cores, half a core each. The fifth then runs alone on one core.
+    assert_eq!(ends(&mut server, 1000.0), [(0, 200.0), (1, 200.0), (2, 200.0), (3, 200.0), (4, 300.0)]);
 }
 
 #[test]
-fn a_full_waiting_room_and_a_drain_turn_away() {
-    let mut s = server();
-    (0..10).for_each(|id| s.offer(job(id, 100.0)).expect("room"));
-    assert_eq!(s.offer(job(10, 1.0)), Err(TurnedAway::Full));
-    s.phase = Phase::Draining;
-    assert_eq!(s.offer(job(11, 1.0)), Err(TurnedAway::Draining));
-    assert_eq!(ends(&mut s, 2000.0).len(), 10, "what it has, it finishes");
+fn a_full_queue_and_a_drain_reject_jobs() {
+    let mut server = server();
+    (0..10).for_each(|id| server.offer(job(id, 100.0)).expect("a free slot"));
+    assert_eq!(server.offer(job(10, 1.0)), Err(Rejection::Full));
+    server.phase = Phase::Draining;
+    assert_eq!(server.offer(job(11, 1.0)), Err(Rejection::Draining));
+    assert_eq!(ends(&mut server, 2000.0).len(), 10, "a draining server finishes its jobs");
 }
 
 #[test]
-fn a_key_met_lately_saves_work_until_it_is_forgotten() {
-    let mut s = server();
+fn a_cached_key_saves_work_until_it_expires() {
+    let mut server = server();
     let keyed = |id| Job { key: Some(7), ..job(id, 100.0) };
-    s.offer(keyed(1)).expect("room");
-    assert_eq!(ends(&mut s, 150.0), [(1, 100.0)]);
-    s.offer(keyed(2)).expect("room");
-    assert_eq!(ends(&mut s, 1300.0), [(2, 200.0)]);
-    s.offer(keyed(3)).expect("room");
-    assert_eq!(ends(&mut s, 1500.0), [(3, 1400.0)]);
+    server.offer(keyed(1)).expect("a free slot");
+    assert_eq!(ends(&mut server, 150.0), [(1, 100.0)]);
+    server.offer(keyed(2)).expect("a free slot");
+    assert_eq!(ends(&mut server, 1300.0), [(2, 200.0)]);
+    server.offer(keyed(3)).expect("a free slot");
+    assert_eq!(ends(&mut server, 1500.0), [(3, 1400.0)]);
 }
 
 #[test]
-fn a_started_server_is_cold_and_warms_by_time_or_work() {
-    let mut s = server();
-    s.plan.cold = WarmUp { initial_share: 0.25, time: 1000.0, requests: 2.0 };
-    s.start(0.0);
-    assert_eq!(s.warmth(), 0.25);
-    ends(&mut s, 500.0);
-    assert!((s.warmth() - 0.625).abs() < 1e-9);
-    s.offer(job(1, 1.0)).expect("room");
-    s.offer(job(2, 1.0)).expect("room");
-    ends(&mut s, 600.0);
-    assert_eq!(s.warmth(), 1.0, "two requests warm it");
+fn a_started_server_warms_up_by_time_or_served_requests() {
+    let mut server = server();
+    server.plan.warm_up = WarmUp { initial_share: 0.25, time: 1000.0, requests: 2.0 };
+    server.start(0.0);
+    assert_eq!(server.warm_share(), 0.25);
+    ends(&mut server, 500.0);
+    assert!((server.warm_share() - 0.625).abs() < 1e-9);
+    server.offer(job(1, 1.0)).expect("a free slot");
+    server.offer(job(2, 1.0)).expect("a free slot");
+    ends(&mut server, 600.0);
+    assert_eq!(server.warm_share(), 1.0, "warm after two requests");
 }
 
 #[test]
-fn a_cold_server_is_pushed_over_by_more_than_it_can_do() {
-    let mut s = server();
-    s.plan.cold = WarmUp { initial_share: 0.25, time: 10_000.0, requests: 0.0 };
-    s.start(0.0);
-    // It can do 0.5 a ms: 4 times that over 1500 ms is 3000, and 400 are chance.
-    let pushed = (0..40).take_while(|_| !s.push(100.0, 4.0, 1500.0)).count();
-    assert_eq!(pushed, 34);
-    assert!(s.fallen && s.capacity() == 0.0);
+fn a_cold_server_fails_when_overloaded() {
+    let mut server = server();
+    server.plan.warm_up = WarmUp { initial_share: 0.25, time: 10_000.0, requests: 0.0 };
+    server.start(0.0);
+    // The capacity is 0.5 per ms: 4 times that over 1500 ms is 3000, plus a tolerance of 400.
+    let accepted = (0..40).take_while(|_| !server.overloads_when_cold(100.0, 4.0, 1500.0)).count();
+    assert_eq!(accepted, 34);
+    assert!(server.failed_by_overload && server.capacity() == 0.0);
 }
 
 #[test]
-fn crowding_turns_it_slow_and_idleness_brings_it_back() {
-    let mut s = server();
-    s.plan.choke = Some(Choke { at: 3.0, over: 500.0, slower: 2.0, below: 0.4, rest: 300.0, most: 9e9 });
-    (0..10).for_each(|id| s.offer(job(id, 300.0)).expect("room"));
-    ends(&mut s, 400.0);
-    assert!(!s.slow());
-    ends(&mut s, 600.0);
-    assert!(s.slow() && s.chokes == 1);
-    let all = ends(&mut s, 5_000.0);
+fn a_long_queue_degrades_a_server_until_it_is_nearly_idle() {
+    let mut server = server();
+    server.plan.degradation = Some(DegradationPlan {
+        queue_limit: 3.0,
+        queue_duration: 500.0,
+        slowdown: 2.0,
+        idle_below: 0.4,
+        idle_duration: 300.0,
+        max_duration: 9e9,
+    });
+    (0..10).for_each(|id| server.offer(job(id, 300.0)).expect("a free slot"));
+    ends(&mut server, 400.0);
+    assert!(!server.is_degraded());
+    ends(&mut server, 600.0);
+    assert!(server.is_degraded() && server.degradations == 1);
+    let all = ends(&mut server, 5_000.0);
     let last = all.iter().map(|(_, at)| *at).fold(0.0, f64::max);
-    assert!(last > 2_000.0, "slower than the 1500 ms of a calm one: {last}");
-    assert!(!s.slow(), "idle again");
+    assert!(last > 2_000.0, "slower than the 1500 ms without degradation: {last}");
+    assert!(!server.is_degraded(), "recovered");
 }
 
 #[test]
 fn a_pause_stops_all_work() {
-    let mut s = server();
-    s.offer(job(1, 100.0)).expect("room");
-    s.pause(250.0);
-    assert_eq!(ends(&mut s, 400.0), [(1, 350.0)]);
+    let mut server = server();
+    server.offer(job(1, 100.0)).expect("a free slot");
+    server.pause(250.0);
+    assert_eq!(ends(&mut server, 400.0), [(1, 350.0)]);
 }
 
 #[test]
-fn a_hang_up_drops_what_the_kind_drops() {
+fn a_closed_connection_cancels_work_as_configured() {
     for (cancel, first, second) in
         [(Cancel::None, false, false), (Cancel::Queued, false, true), (Cancel::All, true, true)]
     {
-        let mut s = server();
-        (s.plan.slots, s.plan.cancel) = (1, cancel);
-        s.offer(job(1, 100.0)).expect("room");
-        s.offer(job(2, 100.0)).expect("room");
-        assert_eq!((s.hang_up(2), s.hang_up(1)), (second, first), "{cancel:?}");
-        assert_eq!(s.held(), 2 - usize::from(first) - usize::from(second), "{cancel:?}");
+        let mut server = server();
+        (server.plan.slots, server.plan.cancel) = (1, cancel);
+        server.offer(job(1, 100.0)).expect("a free slot");
+        server.offer(job(2, 100.0)).expect("a free slot");
+        assert_eq!((server.cancel_job(2), server.cancel_job(1)), (second, first), "{cancel:?}");
+        assert_eq!(server.held(), 2 - usize::from(first) - usize::from(second), "{cancel:?}");
     }
 }
 
 #[test]
-fn reports_come_late() {
-    let mut s = server();
-    s.plan.report = Reporting { period: 100.0, delay: 50.0, noise: 0.0 };
-    (0..3).for_each(|id| s.offer(job(id, 1e6)).expect("room"));
-    ends(&mut s, 120.0);
-    assert_eq!(s.report(0.5).inflight, 0.0, "seen at 100 or later, told 50 later");
-    ends(&mut s, 400.0);
-    assert_eq!(s.report(0.5).inflight, 3.0);
+fn reports_are_delayed() {
+    let mut server = server();
+    server.plan.reporting = Reporting { period: 100.0, delay: 50.0, noise: 0.0 };
+    (0..3).for_each(|id| server.offer(job(id, 1e6)).expect("a free slot"));
+    ends(&mut server, 120.0);
+    assert_eq!(server.report(0.5).inflight, 0.0, "taken at 100 ms at the earliest, reported 50 ms later");
+    ends(&mut server, 400.0);
+    assert_eq!(server.report(0.5).inflight, 3.0);
 }
--- a/crates/lab/benches/flow.rs
+++ b/crates/lab/benches/flow.rs
@@ -7,7 +7,7 @@
 
 fn flows(c: &mut Criterion) {
     let text = "name = 'bench'\nlength_s = 10\n[load]\nrate = 200\nswing = 0\n";
-    let Ok(day) = Day::read("bench", text) else { return };
+    let Ok(day) = Day::parse("bench", text) else { return };
     let mut group = c.benchmark_group("flow");
     group.sample_size(10).throughput(Throughput::Elements(Plan::draw(&day, 1).arrivals.len() as u64));
     group.bench_function("a 10 s day of 6 sidecars, 10 servers, 200 requests a second", |b| {
--- a/crates/lab/src/in_process.rs
+++ b/crates/lab/src/in_process.rs
@@ -5,7 +5,7 @@
 use roseproxy::start::{serve, Surroundings};
 use roseproxy::Clock;
 use roseproxy_emulator::fabric::Fabric;
-use roseproxy_emulator::memory::{Memory, MemoryListener, MemoryStream, Waiting};
+use roseproxy_emulator::memory::{Memory, MemoryListener, MemoryStream, PeekResult};
 use roseproxy_emulator::world::Signal;
 use roseproxy_routing::decide::Decider;
 use roseproxy_transport::network::{Network, Peek, Unread};
@@ -37,13 +37,13 @@
     }
 
     async fn accept(&self, listener: &MemoryListener) -> io::Result<(MemoryStream, Peek)> {
-        let stream = self.memory.accept(listener).await?.counted(&self.held);
+        let stream = self.memory.accept(listener).await?.counted_in(&self.held);
         let peek = peek(&stream);
         Ok((stream, peek))
     }
 
     async fn connect(&self, address: SocketAddr) -> io::Result<(MemoryStream, Peek)> {
-        let stream = self.memory.connect(address).await?.counted(&self.held);
+        let stream = self.memory.connect(address).await?.counted_in(&self.held);
         let peek = peek(&stream);
         Ok((stream, peek))
     }
@@ -53,9 +53,9 @@
 fn peek(stream: &MemoryStream) -> Peek {
     let look = stream.peek();
     Rc::new(move || match look() {
-        Waiting::Nothing => Unread::Nothing,
-        Waiting::Bytes => Unread::Bytes,
-        Waiting::End => Unread::End,
+        PeekResult::Empty => Unread::Nothing,
+        PeekResult::Data => Unread::Bytes,
+        PeekResult::Closed => Unread::End,
     })
 }
 
--- a/crates/lab/src/live.rs
+++ b/crates/lab/src/live.rs
@@ -31,17 +31,17 @@
                 self.bar.println(text);
             }
         };
-        self.bar.set_length(world.plan.day.length_s as u64);
+        self.bar.set_length(world.schedule.scenario.length_s as u64);
         say("   s   tries/s   served  refused   failed   p50 ms   p99 ms   held by server".into());
         let mut seen = 0;
         for second in 1.. {
-            world.until(world.day_at(second as f64 * 1e3)).await;
+            world.sleep_until(world.simulation_time(second as f64 * 1e3)).await;
             let line = {
-                let ledger = world.ledger.borrow();
+                let ledger = world.accounting.borrow();
                 let (mut served, mut refused, mut failed) = (0, 0, 0);
                 let mut times = Vec::new();
                 // Tries of the last second that have ended; those that have not are counted by none.
-                let from = world.day_at(second as f64 * 1e3 - 2_000.0);
+                let from = world.simulation_time(second as f64 * 1e3 - 2_000.0);
                 let recent = ledger.tries.iter().rev().take_while(|t| t.sent >= from - 2_000.0);
                 for one in recent.filter(|t| t.ended >= from + 1_000.0) {
                     match one.end {
--- a/crates/lab/src/processes.rs
+++ b/crates/lab/src/processes.rs
@@ -155,7 +155,7 @@
         !matches!(process.child.try_wait(), Ok(None))
     }
 
-    fn holds(&self, number: usize) -> (Option<usize>, Option<f64>) {
+    fn resource_use(&self, number: usize) -> (Option<usize>, Option<f64>) {
         let running = self.running.borrow();
         let Some(Some(process)) = running.get(number) else { return (None, None) };
         let pid = process.child.id().to_string();
--- a/crates/lab/src/real.rs
+++ b/crates/lab/src/real.rs
@@ -25,7 +25,7 @@
         let free = tokio::net::TcpListener::bind("127.0.0.1:0").await.and_then(|l| l.local_addr());
         let port = free.map_err(|e| format!("no free port: {e}"))?.port();
         let epoch = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64() * 1e3);
-        let sidecars = Rc::new(Processes::new(program, port, plan.day.limits.sockets)?);
+        let sidecars = Rc::new(Processes::new(program, port, plan.scenario.limits.sockets)?);
         let world = World::new(Loopback, plan, Addresses { port }, epoch, sidecars.clone());
         let shown = show.then(|| tokio::task::spawn_local(Live::default().show(world.clone())));
         world.play().await?;
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -60,7 +60,7 @@
             .x_label_area_size(32)
             .y_label_area_size(52)
             .build_cartesian_2d(0.0..seconds, 0.0..top)?;
-        chart.draw_series(played.plan.troubles.iter().map(|t| {
+        chart.draw_series(played.plan.faults.iter().map(|t| {
             let until = (t.until / 1e3).min(seconds);
             Rectangle::new([(t.from / 1e3, 0.0), (until, top)], RGBColor(120, 120, 120).mix(0.13).filled())
         }))?;
@@ -84,7 +84,7 @@
             let legend = legend.background_style(WHITE.mix(0.85)).label_font(FONT);
             legend.position(SeriesLabelPosition::UpperLeft).draw()?;
         }
-        for (number, t) in played.plan.troubles.iter().enumerate() {
+        for (number, t) in played.plan.faults.iter().enumerate() {
             let at = (t.from / 1e3, top * (0.97 - 0.07 * (number % 4) as f64));
             chart.draw_series([Text::new(format!("{:?}", t.kind), at, ("sans-serif", 12))])?;
         }
@@ -190,7 +190,7 @@
     let head = ["", "service", "asked", "served", "late", "refused", "failed", "p50 ms", "p99 ms"];
     let troubles: Vec<Vec<String>> = played
         .plan
-        .troubles
+        .faults
         .iter()
         .map(|t| {
             let times = [t.from / 1e3, t.until / 1e3, t.size, t.part].map(|v| format!("{v:.2}"));
@@ -208,7 +208,7 @@
         o.seed,
         escaped(&o.strategy),
         if played.timing.real { "on real sockets" } else { "in virtual time" },
-        escaped(&played.plan.day.about),
+        escaped(&played.plan.scenario.about),
         escaped(&summary(played))
     );
     for (_, chart) in charts(played)? {
--- a/crates/lab/src/scale/clients.rs
+++ b/crates/lab/src/scale/clients.rs
@@ -4,7 +4,7 @@
 use super::metrics::CallCounts;
 use super::simulation::Simulation;
 use roseproxy_emulator::fabric::Fabric;
-use roseproxy_emulator::http::{Answer, Unread, Wire};
+use roseproxy_emulator::http::{Answer, ReadError, Wire};
 use roseproxy_emulator::plan::hashed;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -141,15 +141,15 @@
             }
             return Err(NotAnswered { taken: false });
         }
-        match wire.answer().await {
+        match wire.read_answer().await {
             Ok(answer) => {
-                if !answer.closes() && simulation.state(sidecar).ready {
+                if !answer.closes_connection() && simulation.state(sidecar).ready {
                     clients.kept.borrow_mut()[sidecar].push(wire);
                 }
                 return Ok(answer);
             }
             // A close between requests crossed this one: it is sent once more, on a new connection.
-            Err(Unread::Closed) if reused => {}
+            Err(ReadError::Closed) if reused => {}
             Err(_) => return Err(NotAnswered { taken: true }),
         }
     }
--- a/crates/lab/src/scale/config_server.rs
+++ b/crates/lab/src/scale/config_server.rs
@@ -97,7 +97,7 @@
         let server = &self.simulation.servers[self.server];
         server.count(|c| c.connects += 1);
         let mut counted = 0;
-        while let Ok(request) = wire.request().await {
+        while let Ok(request) = wire.read_request().await {
             let probe = request.path == "/stats";
             let fine = if probe { self.probe(wire).await } else { self.attempt(wire, &request).await };
             let now = bytes.get();
@@ -148,7 +148,7 @@
             biased;
             () = answered => {}
             // The sidecar has given it up.
-            more = wire.more() => if !matches!(more, Ok(true)) { return false },
+            more = wire.fill_buffer() => if !matches!(more, Ok(true)) { return false },
         }
         let body = format!("{{\"id\":\"{id:016x}\",\"server\":\"cs-{:04}\",\"valid\":true}}\n", self.server);
         let report = simulation.experiment.fleet.report_in_answers.then(|| (REPORT_HEADER, server.report()));
--- a/crates/lab/src/scale/discovery.rs
+++ b/crates/lab/src/scale/discovery.rs
@@ -216,7 +216,7 @@
     async fn serve(&self, wire: &mut Accepted<F>, bytes: Rc<ByteCount>) {
         self.discovery().count(|c| c.connects += 1);
         let mut counted = 0;
-        while let Ok(request) = wire.request().await {
+        while let Ok(request) = wire.read_request().await {
             if !self.takes_turn().await {
                 self.discovery().count(|c| c.failed += 1);
                 if wire.write(&answer_bytes(503, &[], b"")).await.is_err() {
@@ -332,7 +332,7 @@
 where
     S: tokio::io::AsyncRead + tokio::io::AsyncWrite + Unpin,
 {
-    while let Ok(true) = wire.more().await {}
+    while let Ok(true) = wire.fill_buffer().await {}
     true
 }
 
--- a/crates/lab/src/scale/link.rs
+++ b/crates/lab/src/scale/link.rs
@@ -46,7 +46,7 @@
             Link::Up => accept(&fabric, address, &mut link, &service).await,
             Link::Down => link.changed().await.is_ok(),
             Link::Cut => {
-                let _mute = fabric.mute(address).await;
+                let _mute = fabric.block_connects(address).await;
                 link.changed().await.is_ok()
             }
         };
--- a/crates/lab/src/scale/sidecar_config.rs
+++ b/crates/lab/src/scale/sidecar_config.rs
@@ -30,7 +30,7 @@
     fn ended(&self, _: usize) -> bool {
         true
     }
-    fn holds(&self, _: usize) -> (Option<usize>, Option<f64>) {
+    fn resource_use(&self, _: usize) -> (Option<usize>, Option<f64>) {
         (None, None)
     }
 }
@@ -45,7 +45,7 @@
              [server]\nreport_in_answers = {}\n",
             experiment.fleet.report_in_answers
         );
-        let day = Day::read("template", &text).map_err(|e| e.to_string())?;
+        let day = Day::parse("template", &text).map_err(|e| e.to_string())?;
         let plan = Plan::draw(&day, experiment.seed);
         let world = World::new(Memory::default(), plan, Addresses { port: 1 }, 0.0, Rc::new(NoSidecars));
         let mut template = world.config(0, 0);
--- a/crates/lab/src/scale/sidecars.rs
+++ b/crates/lab/src/scale/sidecars.rs
@@ -106,9 +106,9 @@
         }
     }
 
-    fn holds(&self, number: usize) -> (Option<usize>, Option<f64>) {
+    fn resource_use(&self, number: usize) -> (Option<usize>, Option<f64>) {
         if number < self.real {
-            self.processes.holds(number)
+            self.processes.resource_use(number)
         } else {
             (None, None)
         }
@@ -181,7 +181,7 @@
         self.in_process.ended(number)
     }
 
-    fn holds(&self, _: usize) -> (Option<usize>, Option<f64>) {
+    fn resource_use(&self, _: usize) -> (Option<usize>, Option<f64>) {
         (None, None)
     }
 }
--- a/crates/lab/src/scale/simulation.rs
+++ b/crates/lab/src/scale/simulation.rs
@@ -200,7 +200,7 @@
             let mut wire = Wire::new(stream);
             let text = format!("GET {path} HTTP/1.1\r\nhost: origin.svc\r\nconnection: close\r\n\r\n");
             wire.write(text.as_bytes()).await.ok()?;
-            wire.answer().await.ok()
+            wire.read_answer().await.ok()
         };
         tokio::time::timeout(Duration::from_secs(1), ask).await.ok().flatten()
     }
--- a/crates/lab/src/swarm.rs
+++ b/crates/lab/src/swarm.rs
@@ -6,7 +6,7 @@
 use rand_chacha::ChaCha8Rng;
 use roseproxy_emulator::day::Day;
 use roseproxy_emulator::ledger::Rule;
-use roseproxy_emulator::result::broken;
+use roseproxy_emulator::result::broken_rules;
 use std::collections::BTreeSet;
 use std::fmt::Write;
 use std::path::Path;
@@ -131,7 +131,7 @@
     }
 
     fn task(&self) -> Result<Task, String> {
-        let day = Day::read("a random day", &self.text()).map_err(|e| e.to_string())?;
+        let day = Day::parse("a random day", &self.text()).map_err(|e| e.to_string())?;
         Ok(Task { variant: "swarm".into(), day, seed: self.seed, how: How::default() })
     }
 }
@@ -140,7 +140,7 @@
     let tasks = randoms.iter().map(Random::task).collect::<Result<Vec<_>, _>>()?;
     let played = play_all(&tasks, threads);
     let rules = played.into_iter().zip(randoms).map(|(p, r)| match p {
-        Ok(p) => Ok(broken(&p.outcome)),
+        Ok(p) => Ok(broken_rules(&p.outcome)),
         Err(e) => Err(format!("seed {}: {e}", r.seed)),
     });
     rules.collect()
--- a/crates/lab/src/sweep.rs
+++ b/crates/lab/src/sweep.rs
@@ -110,7 +110,7 @@
         set_key(&mut table, key, value)?;
     }
     let text = toml::to_string(&table).map_err(|e| format!("{name}: {e}"))?;
-    Day::read(&format!("{name} with {set:?}"), &text).map_err(|e| e.to_string())
+    Day::parse(&format!("{name} with {set:?}"), &text).map_err(|e| e.to_string())
 }
 
 /// Runs an experiment and keeps every result; returns its table.
--- a/crates/lab/src/trace.rs
+++ b/crates/lab/src/trace.rs
@@ -23,20 +23,20 @@
     }
     let log = Log::default();
     virtual_time::play(plan, strategy, Some(log.clone()), |world| {
-        let (plan, ledger) = (&world.plan, world.ledger.borrow());
+        let (plan, ledger) = (&world.schedule, world.accounting.borrow());
         let arrival = &plan.arrivals[flow];
         let mut text = String::new();
-        let begin = world.day_start();
+        let begin = world.scenario_start();
         let mut line = |at: f64, what: String| {
             // Writing to a text cannot fail.
             let _ = writeln!(text, "{:>12.3} ms  {what}", at - begin);
         };
         line(
-            world.day_at(arrival.at),
+            world.simulation_time(arrival.at),
             format!(
                 "flow {flow}: {} of {} at sidecar {} (zone {}), work {:.0} ms, key {:?}, worth {}{}",
                 plan.class(arrival).name,
-                plan.day.tenants[arrival.tenant].name,
+                plan.scenario.tenants[arrival.tenant].name,
                 arrival.sidecar,
                 plan.sidecars[arrival.sidecar].zone,
                 arrival.work,
--- a/crates/lab/src/virtual_time.rs
+++ b/crates/lab/src/virtual_time.rs
@@ -50,7 +50,7 @@
             let members = world.members();
             let member = members.iter().find(|m| tag(&m.model.borrow().plan.id) == id.0);
             let Some(member) = member.filter(|m| m.in_service()) else { return f64::INFINITY };
-            member.touch(world.now());
+            member.advance(world.now());
             let forecast = member.model.borrow().forecast(100.0);
             forecast
         })
@@ -88,7 +88,7 @@
         self.in_process.ended(number)
     }
 
-    fn holds(&self, number: usize) -> (Option<usize>, Option<f64>) {
+    fn resource_use(&self, number: usize) -> (Option<usize>, Option<f64>) {
         let held = self.held.borrow();
         (held.get(&number).map(|held| held.get() + BESIDES), None)
     }
