--- a/crates/capacity/src/discovery.rs
+++ b/crates/capacity/src/discovery.rs
@@ -87,7 +87,7 @@
 
     async fn serve_connection(&self, stream: TcpStream) {
         let mut wire = Wire::new(stream);
-        while let Ok(request) = wire.request().await {
+        while let Ok(request) = wire.read_request().await {
             if let Some(index) = request.path.strip_prefix(WATCH_PATH_PREFIX) {
                 return self.serve_watch(&mut wire, index.parse().unwrap_or(0)).await;
             }
@@ -121,7 +121,7 @@
                     // A watch that lags this far would need a whole list, so it is closed.
                     Err(_) => return,
                 },
-                more = wire.more() => match more {
+                more = wire.fill_buffer() => match more {
                     Ok(true) => continue,
                     _ => return,
                 },
--- a/crates/capacity/src/endpoints.rs
+++ b/crates/capacity/src/endpoints.rs
@@ -35,7 +35,7 @@
 
     async fn serve_connection(&self, stream: TcpStream) {
         let mut wire = Wire::new(stream);
-        while wire.request().await.is_ok() {
+        while wire.read_request().await.is_ok() {
             let started = Instant::now();
             self.in_flight.set(self.in_flight.get() + 1);
             tokio::time::sleep(self.service_time).await;
--- a/crates/lab/src/in_process.rs
+++ b/crates/lab/src/in_process.rs
@@ -5,7 +5,7 @@
 use roseproxy::signals::Control;
 use roseproxy::Clock;
 use roseproxy_emulator::fabric::Fabric;
-use roseproxy_emulator::memory::{Memory, MemoryListener, MemoryStream, Waiting};
+use roseproxy_emulator::memory::{self, Memory, MemoryListener, MemoryStream};
 use roseproxy_emulator::world::Signal;
 use roseproxy_routing::decider::Decider;
 use roseproxy_transport::network::{Network, Peek, PeekResult};
@@ -37,13 +37,13 @@
     }
 
     async fn accept(&self, listener: &MemoryListener) -> io::Result<(MemoryStream, Peek)> {
-        let stream = self.memory.accept(listener).await?.counted(&self.held);
+        let stream = self.memory.accept(listener).await?.counted_in(&self.held);
         let peek = peek(&stream);
         Ok((stream, peek))
     }
 
     async fn connect(&self, address: SocketAddr) -> io::Result<(MemoryStream, Peek)> {
-        let stream = self.memory.connect(address).await?.counted(&self.held);
+        let stream = self.memory.connect(address).await?.counted_in(&self.held);
         let peek = peek(&stream);
         Ok((stream, peek))
     }
@@ -53,9 +53,9 @@
 fn peek(stream: &MemoryStream) -> Peek {
     let look = stream.peek();
     Rc::new(move || match look() {
-        Waiting::Nothing => PeekResult::Empty,
-        Waiting::Bytes => PeekResult::Data,
-        Waiting::End => PeekResult::Closed,
+        memory::PeekResult::Empty => PeekResult::Empty,
+        memory::PeekResult::Data => PeekResult::Data,
+        memory::PeekResult::Closed => PeekResult::Closed,
     })
 }
 
