--- a/crates/lab/src/in_process.rs
+++ b/crates/lab/src/in_process.rs
@@ -1,4 +1,4 @@
-//! Whole sidecars in this process, from the listener down, over any network.
+//! Runs whole sidecars, from the listener down, as tasks of this process and over any network.
 
 use roseproxy::config::Config;
 use roseproxy::signals::Asked;
@@ -6,7 +6,7 @@
 use roseproxy::Clock;
 use roseproxy_emulator::fabric::Fabric;
 use roseproxy_emulator::memory::{Memory, MemoryListener, MemoryStream, Waiting};
-use roseproxy_emulator::world::Signal;
+use roseproxy_emulator::simulation::Signal;
 use roseproxy_routing::decide::Decider;
 use roseproxy_transport::network::{Network, Peek, Unread};
 use serde_json::Value;
@@ -18,13 +18,13 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 
-/// A sidecar's place in the network in memory: what it opens and accepts is counted.
+/// The in-memory network as one sidecar uses it; counts the streams that the sidecar opens and accepts.
 #[derive(Clone)]
 pub struct MemoryNetwork {
-    /// The network.
+    /// The in-memory network.
     pub memory: Memory,
-    /// Streams that the sidecar holds.
-    pub held: Rc<Cell<usize>>,
+    /// Number of streams that the sidecar has open.
+    pub open_streams: Rc<Cell<usize>>,
 }
 
 impl Network for MemoryNetwork {
@@ -37,44 +37,44 @@
     }
 
     async fn accept(&self, listener: &MemoryListener) -> io::Result<(MemoryStream, Peek)> {
-        let stream = self.memory.accept(listener).await?.counted(&self.held);
+        let stream = self.memory.accept(listener).await?.counted(&self.open_streams);
         let peek = peek(&stream);
         Ok((stream, peek))
     }
 
     async fn connect(&self, address: SocketAddr) -> io::Result<(MemoryStream, Peek)> {
-        let stream = self.memory.connect(address).await?.counted(&self.held);
+        let stream = self.memory.connect(address).await?.counted(&self.open_streams);
         let peek = peek(&stream);
         Ok((stream, peek))
     }
 }
 
-/// Looks at a stream in memory.
+/// Returns a function that shows whether an in-memory stream has unread data.
 fn peek(stream: &MemoryStream) -> Peek {
-    let look = stream.peek();
-    Rc::new(move || match look() {
+    let peek_stream = stream.peek();
+    Rc::new(move || match peek_stream() {
         Waiting::Nothing => Unread::Nothing,
         Waiting::Bytes => Unread::Bytes,
         Waiting::End => Unread::End,
     })
 }
 
-/// One sidecar that was started.
-struct Running {
+/// A started sidecar.
+struct RunningSidecar {
     task: JoinHandle<()>,
-    asked: UnboundedSender<Asked>,
-    /// What its configuration file holds now.
+    commands: UnboundedSender<Asked>,
+    /// Current content of its simulated configuration file.
     file: Rc<RefCell<Value>>,
 }
 
-/// Sidecars in this process, by number. All calls must be made inside of one [`LocalSet`].
+/// Sidecars in this process, by number. All calls must be made within the same [`LocalSet`].
 #[derive(Default)]
 pub struct InProcess {
-    running: RefCell<BTreeMap<usize, Running>>,
+    running: RefCell<BTreeMap<usize, RunningSidecar>>,
 }
 
 impl InProcess {
-    /// Starts a sidecar. One that runs under this number is dropped.
+    /// Starts a sidecar. A sidecar that already runs under this number is dropped.
     pub fn start<N: Network>(
         &self,
         number: usize,
@@ -84,46 +84,48 @@
         decider: Option<Box<dyn Decider>>,
     ) -> Result<(), String> {
         let parsed = Config::read(&config.to_string(), |_| None)?;
-        let (asked, asking) = unbounded_channel();
+        let (commands, command_receiver) = unbounded_channel();
         let file = Rc::new(RefCell::new(config.clone()));
-        let say: Rc<dyn Fn(&str)> = Rc::new(move |line| tracing::debug!(sidecar = number, "{line}"));
-        let around = Surroundings { network, clock, say, decider, print_events: false };
-        let read = {
+        let log_line: Rc<dyn Fn(&str)> = Rc::new(move |line| tracing::debug!(sidecar = number, "{line}"));
+        let surroundings = Surroundings { network, clock, say: log_line, decider, print_events: false };
+        let read_config = {
             let file = file.clone();
             move || Ok(Config::read(&file.borrow().to_string(), |_| None)?)
         };
         let task = spawn_local(async move {
-            // A set of its own: when this task is dropped, all that the sidecar had begun goes with it.
-            let set = LocalSet::new();
-            if let Err(reason) = set.run_until(serve(parsed, around, asking, read)).await {
+            // Its own LocalSet: dropping this task also drops every task that the sidecar has spawned.
+            let local_set = LocalSet::new();
+            if let Err(reason) =
+                local_set.run_until(serve(parsed, surroundings, command_receiver, read_config)).await
+            {
                 tracing::error!(sidecar = number, "{reason}");
             }
         });
-        let before = self.running.borrow_mut().insert(number, Running { task, asked, file });
-        if let Some(before) = before {
-            before.task.abort();
+        let previous = self.running.borrow_mut().insert(number, RunningSidecar { task, commands, file });
+        if let Some(previous) = previous {
+            previous.task.abort();
         }
         Ok(())
     }
 
-    /// Tells a sidecar something. One that has ended hears nothing any more.
+    /// Sends a signal to a sidecar. Signals to a sidecar that has ended are ignored.
     pub fn signal(&self, number: usize, signal: Signal) {
         let running = self.running.borrow();
-        let Some(one) = running.get(&number) else { return };
+        let Some(sidecar) = running.get(&number) else { return };
         match signal {
             Signal::Term => {
-                let _ = one.asked.send(Asked::End);
+                let _ = sidecar.commands.send(Asked::End);
             }
             Signal::Reload(config) => {
-                *one.file.borrow_mut() = config;
-                let _ = one.asked.send(Asked::Reload);
+                *sidecar.file.borrow_mut() = config;
+                let _ = sidecar.commands.send(Asked::Reload);
             }
-            Signal::Kill => one.task.abort(),
+            Signal::Kill => sidecar.task.abort(),
         }
     }
 
     /// Whether a sidecar has ended, or was never started.
     pub fn ended(&self, number: usize) -> bool {
-        self.running.borrow().get(&number).is_none_or(|one| one.task.is_finished())
+        self.running.borrow().get(&number).is_none_or(|sidecar| sidecar.task.is_finished())
     }
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,24 +1,24 @@
-//! The laboratory: plays days against the whole sidecar, and shows what came of them.
+//! Command line of the laboratory: runs scenarios against the whole sidecar and reports the results.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand, ValueEnum};
-use roseproxy_emulator::day::Day;
-use roseproxy_lab::run::How;
+use roseproxy_emulator::scenario::Scenario;
+use roseproxy_lab::run::RunOptions;
 use roseproxy_lab::strategies::Strategy;
 use roseproxy_lab::{claims, report, run, scale, swarm, sweep, trace};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// A rule was broken, or a claim not kept.
-const BROKEN: u8 = 1;
-/// A file or an argument is faulty.
-const FAULTY: u8 = 2;
+/// Exit code when a rule was broken or a claim did not hold.
+const EXIT_RULE_BROKEN: u8 = 1;
+/// Exit code for an invalid file or argument.
+const EXIT_INVALID_INPUT: u8 = 2;
 
 #[derive(Parser)]
 #[command(
     name = "roseproxy-lab",
     version,
-    about = "Plays days against the whole sidecar, in virtual time or on real sockets"
+    about = "Runs scenarios against the whole sidecar, in virtual time or on real sockets"
 )]
 #[command(after_help = "Examples:
   roseproxy-lab run lab/days/burst.toml --out out/burst
@@ -35,196 +35,197 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play one day; exit 1 where a rule was broken
+    /// Run one scenario; exit 1 if a rule was broken
     Run {
-        /// The day's file
+        /// Scenario file
         day: PathBuf,
-        /// For all draws, in place of the day's own
+        /// Seed of all random draws, instead of the scenario's own
         #[arg(long)]
         seed: Option<u64>,
-        /// Who decides
+        /// Strategy that chooses the server of each attempt
         #[arg(long, value_enum, default_value = "module")]
         strategy: Strategy,
-        /// On real sockets of 127.0.0.0/8, against processes
+        /// Run on real sockets in 127.0.0.0/8, against processes of the program
         #[arg(long)]
         real: bool,
-        /// The program to start there
+        /// Sidecar program to start with --real
         #[arg(long, default_value = "target/release/roseproxy")]
         program: PathBuf,
         /// Show a live table
         #[arg(long)]
         live: bool,
-        /// Where results, charts and the page go
+        /// Folder for results, charts and the HTML report
         #[arg(long)]
         out: PathBuf,
     },
-    /// Play an experiment: variants times days times seeds
+    /// Run an experiment: every variant with every scenario and seed
     Sweep {
-        /// The experiment's file
+        /// Experiment file
         experiment: PathBuf,
-        /// Where its results go
+        /// Folder for the results
         #[arg(long)]
         out: PathBuf,
-        /// Plays at a time, in place of one a core
+        /// Number of concurrent runs, instead of one per core
         #[arg(long)]
         threads: Option<usize>,
     },
-    /// Run a scale experiment: a fleet of real and hollow sidecars on sockets, or all of it in virtual time
+    /// Run a scale experiment: a fleet of real and hollow sidecars on sockets, or all hollow in virtual time
     Scale {
-        /// The experiment's file
+        /// Experiment file
         experiment: PathBuf,
-        /// Where its results go
+        /// Folder for the results
         #[arg(long)]
         out: PathBuf,
-        /// In virtual time, with all sidecars hollow
+        /// Run in virtual time, with all sidecars hollow
         #[arg(long = "virtual")]
         virtual_time: bool,
-        /// Run it with all sidecars real and with all hollow, and say how much they differ
+        /// Run once with all sidecars real and once with all hollow, and report the differences
         #[arg(long, conflicts_with = "virtual_time")]
         calibrate: bool,
-        /// The program that real sidecars run
+        /// Program of the real sidecars
         #[arg(long, default_value = "target/release/roseproxy")]
         program: PathBuf,
     },
-    /// Run hollow sidecars as told on the input; `scale` starts this
+    /// Run hollow sidecars by commands read from standard input; started by `scale`
     #[command(hide = true, name = scale::worker::SUBCOMMAND)]
     Hollow,
-    /// Compare two folders of results, paired by day and seed
+    /// Compare two folders of results, paired by scenario and seed
     Compare {
-        /// The one
+        /// First folder of results, the baseline
         a: PathBuf,
-        /// The other
+        /// Second folder of results
         b: PathBuf,
-        /// A path in result.json
+        /// Metric to compare, as a path in result.json
         #[arg(long, default_value = "service")]
         metric: String,
     },
-    /// Run a subsystem's claims; exit 1 where one is not kept
+    /// Check a subsystem's claims; exit 1 if one does not hold
     Claims {
-        /// The claims' file
+        /// Claims file
         file: PathBuf,
-        /// Seeds A..B, both played, in place of the file's own
-        #[arg(long, value_parser = seeds)]
+        /// Seeds A..B, both inclusive, instead of the file's own
+        #[arg(long, value_parser = parse_seed_range)]
         seeds: Option<[u64; 2]>,
     },
-    /// Play random days with random faults; shrink those that break a rule
+    /// Run random scenarios with random faults; shrink those that break a rule
     Swarm {
-        /// How many
+        /// Number of scenarios
         #[arg(long, default_value_t = 50)]
         seeds: u64,
-        /// The first of them
+        /// First seed
         #[arg(long, default_value_t = 1)]
         first: u64,
-        /// Where days go that break a rule
+        /// Folder for the scenarios that break a rule
         #[arg(long, default_value = "out/swarm")]
         out: PathBuf,
     },
-    /// Tell one flow's whole story
+    /// Print the full trace of one flow
     Trace {
-        /// The day's file
+        /// Scenario file
         day: PathBuf,
-        /// The flow: the number of its arrival
+        /// Flow number, in order of arrival
         #[arg(long)]
         flow: usize,
-        /// For all draws, in place of the day's own
+        /// Seed of all random draws, instead of the scenario's own
         #[arg(long)]
         seed: Option<u64>,
-        /// Who decides
+        /// Strategy that chooses the server of each attempt
         #[arg(long, value_enum, default_value = "module")]
         strategy: Strategy,
     },
-    /// Write the page and charts of a day that is played anew from a result in a folder
+    /// Rerun the scenario of a stored result and write its HTML report and charts
     Report {
-        /// A folder that `run` has written
+        /// Folder written by `run`
         folder: PathBuf,
-        /// The day's file
+        /// Scenario file
         #[arg(long)]
         day: PathBuf,
     },
 }
 
-fn seeds(text: &str) -> Result<[u64; 2], String> {
-    let wrong = || format!("{text} is not A..B with A up to B");
-    let (a, b) = text.split_once("..").ok_or_else(wrong)?;
-    let number = |t: &str| t.parse::<u64>().map_err(|_| wrong());
-    let range = [number(a)?, number(b)?];
+fn parse_seed_range(text: &str) -> Result<[u64; 2], String> {
+    let invalid = || format!("{text} is not a range A..B with A <= B");
+    let (first, last) = text.split_once("..").ok_or_else(invalid)?;
+    let number = |t: &str| t.parse::<u64>().map_err(|_| invalid());
+    let range = [number(first)?, number(last)?];
     if range[0] <= range[1] {
         Ok(range)
     } else {
-        Err(wrong())
+        Err(invalid())
     }
 }
 
-fn load(path: &Path) -> Result<Day, String> {
-    Day::load(path).map_err(|e| e.to_string())
+fn load_scenario(path: &Path) -> Result<Scenario, String> {
+    Scenario::load(path).map_err(|e| e.to_string())
 }
 
 fn main() -> ExitCode {
     let filter = tracing_subscriber::EnvFilter::try_from_env("LAB_LOG").unwrap_or_else(|_| "warn".into());
     tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).init();
-    match act(Cli::parse().command) {
+    match execute(Cli::parse().command) {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(BROKEN),
+        Ok(false) => ExitCode::from(EXIT_RULE_BROKEN),
         Err(reason) => {
             eprintln!("roseproxy-lab: {reason}");
-            ExitCode::from(FAULTY)
+            ExitCode::from(EXIT_INVALID_INPUT)
         }
     }
 }
 
-/// Carries out a command; false where a rule was broken or a claim not kept.
-fn act(command: Command) -> Result<bool, String> {
+/// Executes a command. Returns false if a rule was broken or a claim did not hold.
+fn execute(command: Command) -> Result<bool, String> {
     match command {
         Command::Run { day, seed, strategy, real, program, live, out } => {
-            let day = load(&day)?;
-            let how = How { strategy, program: real.then_some(program), live };
-            let played = run::play(&day, seed.unwrap_or(day.seed), &how)?;
-            run::keep(&played, &out)?;
-            report::report(&played, &out)?;
-            print!("{}", run::summary(&played));
+            let scenario = load_scenario(&day)?;
+            let options = RunOptions { strategy, program: real.then_some(program), live_table: live };
+            let completed = run::run_scenario(&scenario, seed.unwrap_or(scenario.seed), &options)?;
+            run::write_results(&completed, &out)?;
+            report::write_report(&completed, &out)?;
+            print!("{}", run::summary(&completed));
             println!("report: {}", out.join("report.html").display());
-            Ok(played.outcome.violation_counts.is_empty())
+            Ok(completed.outcome.violation_counts.is_empty())
         }
         Command::Sweep { experiment, out, threads } => {
-            print!("{}", sweep::sweep(&experiment, &out, threads)?);
+            print!("{}", sweep::run_sweep(&experiment, &out, threads)?);
             Ok(true)
         }
         Command::Scale { experiment, out, virtual_time, calibrate, program } => {
-            let how = scale::How { virtual_time, calibrate, program };
-            print!("{}", scale::run(&experiment, &out, &how)?);
+            let options = scale::ScaleOptions { virtual_time, calibrate, program };
+            print!("{}", scale::run_experiment(&experiment, &out, &options)?);
             Ok(true)
         }
-        Command::Hollow => scale::worker::run().map(|()| true),
+        Command::Hollow => scale::worker::run_worker().map(|()| true),
         Command::Compare { a, b, metric } => {
             print!("{}", sweep::compare(&a, &b, &metric)?);
             Ok(true)
         }
         Command::Claims { file, seeds } => {
-            let (table, kept) = claims::claims(&file, seeds)?;
+            let (table, all_hold) = claims::check_claims(&file, seeds)?;
             print!("{table}");
-            Ok(kept)
+            Ok(all_hold)
         }
         Command::Swarm { seeds, first, out } => {
-            let (text, found) = swarm::swarm(first, seeds, &out)?;
+            let (text, failing) = swarm::run_swarm(first, seeds, &out)?;
             print!("{text}");
-            Ok(found == 0)
+            Ok(failing == 0)
         }
         Command::Trace { day, flow, seed, strategy } => {
-            let day = load(&day)?;
-            print!("{}", trace::story(&day, seed.unwrap_or(day.seed), strategy, flow)?);
+            let scenario = load_scenario(&day)?;
+            print!("{}", trace::trace_flow(&scenario, seed.unwrap_or(scenario.seed), strategy, flow)?);
             Ok(true)
         }
         Command::Report { folder, day } => {
-            let day = load(&day)?;
+            let scenario = load_scenario(&day)?;
             let text = std::fs::read_to_string(folder.join("result.json"));
             let text = text.map_err(|e| format!("{}: {e}", folder.join("result.json").display()))?;
-            let known: serde_json::Value = serde_json::from_str(&text).map_err(|e| e.to_string())?;
-            let seed = known.get("seed").and_then(serde_json::Value::as_u64).unwrap_or(day.seed);
-            let name = known.get("strategy").and_then(|s| s.as_str()).unwrap_or("module").to_owned();
+            let result: serde_json::Value = serde_json::from_str(&text).map_err(|e| e.to_string())?;
+            let seed = result.get("seed").and_then(serde_json::Value::as_u64).unwrap_or(scenario.seed);
+            let name = result.get("strategy").and_then(|s| s.as_str()).unwrap_or("module").to_owned();
             let strategy = Strategy::from_str(&name, false);
             let strategy = strategy.map_err(|_| format!("result.json: unknown strategy {name}"))?;
-            let played = run::play(&day, seed, &How { strategy, ..How::default() })?;
-            report::report(&played, &folder)?;
+            let options = RunOptions { strategy, ..RunOptions::default() };
+            let completed = run::run_scenario(&scenario, seed, &options)?;
+            report::write_report(&completed, &folder)?;
             println!("report: {}", folder.join("report.html").display());
             Ok(true)
         }
--- a/crates/lab/src/recorded.rs
+++ b/crates/lab/src/recording_decider.rs
@@ -1,4 +1,4 @@
-//! What decision modules were told and answered, written down for later.
+//! Records the request events that decision modules receive and the actions that they return.
 
 use roseproxy_decision::interface::{Action, Event, Micros};
 use roseproxy_decision::picture::Picture;
@@ -6,37 +6,37 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// One thing that a module was told or answered: when (microseconds), at which sidecar, about which
-/// request of that sidecar's, in words.
-pub type Entry = (Micros, usize, u64, String);
+/// One recorded event or action: time (microseconds), number of the sidecar, request number within that
+/// sidecar, and description.
+pub type TraceEntry = (Micros, usize, u64, String);
 
-/// What the modules of a day were told and answered.
-pub type Log = Rc<RefCell<Vec<Entry>>>;
+/// The recorded events and actions of all decision modules of a run.
+pub type TraceLog = Rc<RefCell<Vec<TraceEntry>>>;
 
-/// A decider that writes down all that concerns requests.
-pub struct Recorded {
+/// A decider that forwards to another one and records every event and action about requests.
+pub struct RecordingDecider {
     sidecar: usize,
     inner: Box<dyn Decider>,
-    log: Log,
+    log: TraceLog,
 }
 
-impl Recorded {
-    /// Records what passes to and from a decider, under the number of its sidecar.
-    pub fn new(sidecar: usize, inner: Box<dyn Decider>, log: Log) -> Recorded {
-        Recorded { sidecar, inner, log }
+impl RecordingDecider {
+    /// Wraps the decider of a sidecar.
+    pub fn new(sidecar: usize, inner: Box<dyn Decider>, log: TraceLog) -> RecordingDecider {
+        RecordingDecider { sidecar, inner, log }
     }
 
-    fn note(&self, now: Micros, request: u64, text: String) {
+    fn record(&self, now: Micros, request: u64, text: String) {
         self.log.borrow_mut().push((now, self.sidecar, request, text));
     }
 }
 
-impl Decider for Recorded {
+impl Decider for RecordingDecider {
     fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match &event {
             Event::Request(r) => {
                 let text = format!("told: request of class {} with {} ms left", r.class, r.time_left / 1000);
-                self.note(now, r.id, text);
+                self.record(now, r.id, text);
             }
             Event::Ended { request, attempt, server, outcome, elapsed, .. } => {
                 let text = format!(
@@ -44,9 +44,9 @@
                     server.0,
                     elapsed / 1000
                 );
-                self.note(now, *request, text);
+                self.record(now, *request, text);
             }
-            Event::Expired { request } => self.note(now, *request, "told: its client has left".into()),
+            Event::Expired { request } => self.record(now, *request, "told: its client has left".into()),
             _ => {}
         }
         let before = out.len();
@@ -70,7 +70,7 @@
                 "{text} (picture: {} ready, {} aside, load {:.1}, late {:.2}, spread {:.2})",
                 p.ready, p.set_aside, p.load, p.lateness, p.spread
             );
-            self.note(now, request, text);
+            self.record(now, request, text);
         }
     }
 
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,19 +1,23 @@
-//! What people look at: one page by itself, and its charts.
+//! The HTML report of a run, its charts, and the chart that compares the variants of an experiment.
 
-use crate::run::{summary, write, Played};
-use crate::stats::{bootstrap, figure, mean};
+use crate::run::{summary, write_file, CompletedRun};
+use crate::stats::{bootstrap, mean, metric_value};
 use plotters::coord::Shift;
 use plotters::prelude::*;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::path::Path;
 
-const SIZE: (u32, u32) = (900, 300);
-const FONT: (&str, u32) = ("sans-serif", 13);
-const TITLE: (&str, u32) = ("sans-serif", 16);
+const CHART_WIDTH_PX: u32 = 900;
+const CHART_HEIGHT_PX: u32 = 300;
+const FONT_FAMILY: &str = "sans-serif";
+const LABEL_FONT: (&str, u32) = (FONT_FAMILY, 13);
+const TITLE_FONT: (&str, u32) = (FONT_FAMILY, 16);
+/// Window of the moving means in charts (s); values of single seconds vary too much to be readable.
+const SMOOTHING_WINDOW_S: usize = 3;
 
-/// Colours for series, told apart also by who sees no red and green (Okabe and Ito 2008).
-const COLOURS: [RGBColor; 8] = [
+/// Colours of series that readers with red-green colour blindness can tell apart (Okabe and Ito 2008).
+const SERIES_COLOURS: [RGBColor; 8] = [
     RGBColor(0, 114, 178),
     RGBColor(213, 94, 0),
     RGBColor(0, 158, 115),
@@ -24,14 +28,14 @@
     RGBColor(160, 160, 60),
 ];
 
-fn colour(at: usize) -> RGBColor {
-    COLOURS[at % COLOURS.len()]
+fn series_colour(number: usize) -> RGBColor {
+    SERIES_COLOURS[number % SERIES_COLOURS.len()]
 }
 
-type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
-type Drawn = Result<(), Box<dyn std::error::Error>>;
+type ChartArea<'a> = DrawingArea<SVGBackend<'a>, Shift>;
+type DrawResult = Result<(), Box<dyn std::error::Error>>;
 
-fn svg(size: (u32, u32), draw: impl FnOnce(&Area) -> Drawn) -> Result<String, String> {
+fn render_svg(size: (u32, u32), draw: impl FnOnce(&ChartArea) -> DrawResult) -> Result<String, String> {
     let mut text = String::new();
     {
         let area = SVGBackend::with_string(&mut text, size).into_drawing_area();
@@ -42,25 +46,25 @@
     Ok(text)
 }
 
-/// Lines over the seconds of a day, with its troubles shaded.
-fn lines(
-    played: &Played,
+/// A line chart over the seconds of a scenario, with the times of its faults shaded.
+fn line_chart(
+    completed: &CompletedRun,
     title: &str,
     unit: &str,
     top: Option<f64>,
     series: &[(&str, Vec<f64>)],
 ) -> Result<String, String> {
-    let seconds = played.series.len().max(1) as f64;
-    let most = series.iter().flat_map(|(_, v)| v).copied().filter(|v| v.is_finite()).fold(0.0, f64::max);
-    let top = top.unwrap_or((most * 1.1).max(1e-3));
-    svg(SIZE, |area| {
+    let seconds = completed.series.len().max(1) as f64;
+    let highest = series.iter().flat_map(|(_, v)| v).copied().filter(|v| v.is_finite()).fold(0.0, f64::max);
+    let top = top.unwrap_or((highest * 1.1).max(1e-3));
+    render_svg((CHART_WIDTH_PX, CHART_HEIGHT_PX), |area| {
         let mut chart = ChartBuilder::on(area)
-            .caption(title, TITLE)
+            .caption(title, TITLE_FONT)
             .margin(8)
             .x_label_area_size(32)
             .y_label_area_size(52)
             .build_cartesian_2d(0.0..seconds, 0.0..top)?;
-        chart.draw_series(played.plan.troubles.iter().map(|t| {
+        chart.draw_series(completed.schedule.troubles.iter().map(|t| {
             let until = (t.until / 1e3).min(seconds);
             Rectangle::new([(t.from / 1e3, 0.0), (until, top)], RGBColor(120, 120, 120).mix(0.13).filled())
         }))?;
@@ -69,10 +73,10 @@
             .light_line_style(WHITE)
             .x_desc("second of the day")
             .y_desc(unit)
-            .label_style(FONT)
+            .label_style(LABEL_FONT)
             .draw()?;
         for (number, (name, values)) in series.iter().enumerate() {
-            let colour = colour(number);
+            let colour = series_colour(number);
             let points = values.iter().enumerate().filter(|(_, v)| v.is_finite());
             let line =
                 LineSeries::new(points.map(|(s, v)| (s as f64 + 0.5, v.min(top))), colour.stroke_width(2));
@@ -81,76 +85,92 @@
         }
         if series.len() > 1 && series.len() <= 8 {
             let mut legend = chart.configure_series_labels();
-            let legend = legend.background_style(WHITE.mix(0.85)).label_font(FONT);
+            let legend = legend.background_style(WHITE.mix(0.85)).label_font(LABEL_FONT);
             legend.position(SeriesLabelPosition::UpperLeft).draw()?;
         }
-        for (number, t) in played.plan.troubles.iter().enumerate() {
+        for (number, t) in completed.schedule.troubles.iter().enumerate() {
             let at = (t.from / 1e3, top * (0.97 - 0.07 * (number % 4) as f64));
-            chart.draw_series([Text::new(format!("{:?}", t.kind), at, ("sans-serif", 12))])?;
+            chart.draw_series([Text::new(format!("{:?}", t.kind), at, (FONT_FAMILY, 12))])?;
         }
         Ok(())
     })
 }
 
-/// Bars by name.
-fn named_bars(title: &str, unit: &str, values: &[(String, f64)]) -> Result<String, String> {
-    let most = values.iter().map(|(_, v)| *v).fold(0.0, f64::max).max(1.0) * 1.15;
+/// A horizontal bar chart of named values.
+fn bar_chart(title: &str, unit: &str, values: &[(String, f64)]) -> Result<String, String> {
+    let highest = values.iter().map(|(_, v)| *v).fold(0.0, f64::max).max(1.0) * 1.15;
     let height = 60 + 24 * values.len().max(1) as u32;
-    svg((SIZE.0, height), |area| {
-        let area = area.titled(title, TITLE)?;
+    render_svg((CHART_WIDTH_PX, height), |area| {
+        let area = area.titled(title, TITLE_FONT)?;
         let (width, _) = area.dim_in_pixel();
         for (number, (name, value)) in values.iter().enumerate() {
             let y = 10 + 24 * number as i32;
             let from = 290;
-            let until = from + ((f64::from(width) - 390.0) * value / most) as i32;
-            area.draw(&Text::new(name.clone(), (8, y + 3), FONT))?;
-            area.draw(&Rectangle::new([(from, y), (until.max(from + 1), y + 17)], colour(0).filled()))?;
-            area.draw(&Text::new(format!("{value:.0} {unit}"), (until + 6, y + 3), FONT))?;
+            let until = from + ((f64::from(width) - 390.0) * value / highest) as i32;
+            area.draw(&Text::new(name.clone(), (8, y + 3), LABEL_FONT))?;
+            area.draw(&Rectangle::new(
+                [(from, y), (until.max(from + 1), y + 17)],
+                series_colour(0).filled(),
+            ))?;
+            area.draw(&Text::new(format!("{value:.0} {unit}"), (until + 6, y + 3), LABEL_FONT))?;
         }
         Ok(())
     })
 }
 
-/// A moving mean over so many seconds: single seconds jump.
-fn smooth(values: &[f64], over: usize) -> Vec<f64> {
-    let at = |n: usize| {
-        let some = &values[n.saturating_sub(over - 1)..=n];
-        some.iter().sum::<f64>() / some.len() as f64
+/// The moving mean of values of consecutive seconds over a trailing window.
+fn moving_mean(values: &[f64], window_s: usize) -> Vec<f64> {
+    let mean_up_to = |second: usize| {
+        let window = &values[second.saturating_sub(window_s - 1)..=second];
+        window.iter().sum::<f64>() / window.len() as f64
     };
-    (0..values.len()).map(at).collect()
+    (0..values.len()).map(mean_up_to).collect()
 }
 
-/// The charts of a play by file name.
-pub fn charts(played: &Played) -> Result<Vec<(&'static str, String)>, String> {
-    let s = &played.series;
-    let of = |f: &dyn Fn(&roseproxy_emulator::result::Second) -> f64| s.iter().map(f).collect::<Vec<f64>>();
-    let (worth, served) = (smooth(&of(&|x| x.worth), 3), smooth(&of(&|x| x.served), 3));
+/// The charts of a run, as pairs of file name and SVG text.
+pub fn charts(completed: &CompletedRun) -> Result<Vec<(&'static str, String)>, String> {
+    let series = &completed.series;
+    let of =
+        |f: &dyn Fn(&roseproxy_emulator::result::Second) -> f64| series.iter().map(f).collect::<Vec<f64>>();
+    let (worth, served) = (
+        moving_mean(&of(&|x| x.worth), SMOOTHING_WINDOW_S),
+        moving_mean(&of(&|x| x.served), SMOOTHING_WINDOW_S),
+    );
     let service = served.iter().zip(&worth).map(|(a, b)| if *b > 0.0 { a / b } else { f64::NAN }).collect();
-    let (tries, refused) = (smooth(&of(&|x| x.tries as f64), 3), smooth(&of(&|x| x.refused as f64), 3));
+    let (tries, refused) = (
+        moving_mean(&of(&|x| x.tries as f64), SMOOTHING_WINDOW_S),
+        moving_mean(&of(&|x| x.refused as f64), SMOOTHING_WINDOW_S),
+    );
     let refused = refused.iter().zip(&tries).map(|(a, b)| if *b > 0.0 { a / b } else { 0.0 }).collect();
     let idle = of(&|x| x.fleet.idle);
     let service = [("service", service), ("refused of all tries", refused), ("idle cores", idle)];
     let latency = [("p50", of(&|x| x.p50)), ("p99", of(&|x| x.p99))];
-    let count = s.iter().map(|x| x.fleet.held.len()).max().unwrap_or(0);
+    let count = series.iter().map(|x| x.fleet.held.len()).max().unwrap_or(0);
     let names: Vec<String> = (0..count).map(|n| format!("server {n}")).collect();
     let held: Vec<(&str, Vec<f64>)> = (0..count)
         .map(|n| {
             let at =
                 |x: &roseproxy_emulator::result::Second| x.fleet.held.get(n).copied().filter(|h| *h >= 0.0);
-            (names[n].as_str(), s.iter().map(|x| at(x).unwrap_or(f64::NAN)).collect())
+            (names[n].as_str(), series.iter().map(|x| at(x).unwrap_or(f64::NAN)).collect())
         })
         .collect();
     let causes: Vec<(String, f64)> =
-        played.outcome.refusals.by_cause.iter().map(|(k, v)| (k.clone(), *v as f64)).collect();
+        completed.outcome.refusals.by_cause.iter().map(|(k, v)| (k.clone(), *v as f64)).collect();
     let mut charts = vec![
-        ("service.svg", lines(played, "Service and refusals (mean of 3 s)", "share", Some(1.05), &service)?),
-        ("latency.svg", lines(played, "Time from the first try to the answer", "ms", None, &latency)?),
-        ("load.svg", lines(played, "Requests held by each server", "requests", None, &held)?),
+        (
+            "service.svg",
+            line_chart(completed, "Service and refusals (mean of 3 s)", "share", Some(1.05), &service)?,
+        ),
+        (
+            "latency.svg",
+            line_chart(completed, "Time from the first try to the answer", "ms", None, &latency)?,
+        ),
+        ("load.svg", line_chart(completed, "Requests held by each server", "requests", None, &held)?),
     ];
     if !causes.is_empty() {
         charts.push((
             "refusals.svg",
-            named_bars(
+            bar_chart(
                 "Refused tries: what was behind them, and what the fleet could have done",
                 "",
                 &causes,
@@ -160,23 +180,23 @@
     Ok(charts)
 }
 
-/// Text for a page.
-fn escaped(text: &str) -> String {
+/// Escapes text for HTML.
+fn escape_html(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-fn table(head: &[&str], rows: &[Vec<String>]) -> String {
+fn html_table(head: &[&str], rows: &[Vec<String>]) -> String {
     let cells = |cells: &[String], tag: &str| -> String {
-        cells.iter().map(|c| format!("<{tag}>{}</{tag}>", escaped(c))).collect()
+        cells.iter().map(|c| format!("<{tag}>{}</{tag}>", escape_html(c))).collect()
     };
     let head: Vec<String> = head.iter().map(ToString::to_string).collect();
     let rows: String = rows.iter().map(|r| format!("<tr>{}</tr>", cells(r, "td"))).collect();
     format!("<table><tr>{}</tr>{rows}</table>", cells(&head, "th"))
 }
 
-/// The page of a play, with everything in it.
-pub fn page(played: &Played) -> Result<String, String> {
-    let o = &played.outcome;
+/// The HTML report of a run, as one self-contained page.
+pub fn html_page(completed: &CompletedRun) -> Result<String, String> {
+    let outcome = &completed.outcome;
     let parts = |parts: &BTreeMap<String, roseproxy_emulator::result::Part>| -> Vec<Vec<String>> {
         let row = |(name, p): (&String, &roseproxy_emulator::result::Part)| {
             let f = &p.flows;
@@ -187,9 +207,9 @@
         };
         parts.iter().map(row).collect()
     };
-    let head = ["", "service", "asked", "served", "late", "refused", "failed", "p50 ms", "p99 ms"];
-    let troubles: Vec<Vec<String>> = played
-        .plan
+    let header = ["", "service", "asked", "served", "late", "refused", "failed", "p50 ms", "p99 ms"];
+    let faults: Vec<Vec<String>> = completed
+        .schedule
         .troubles
         .iter()
         .map(|t| {
@@ -198,28 +218,32 @@
         })
         .collect();
     let ends: Vec<Vec<String>> =
-        o.attempts.by_end.iter().map(|(k, v)| vec![k.clone(), v.to_string()]).collect();
+        outcome.attempts.by_end.iter().map(|(k, v)| vec![k.clone(), v.to_string()]).collect();
     let mut body = String::new();
-    // Writing to a text cannot fail.
+    // Writing to a String cannot fail.
     let _ = write!(
         body,
         "<h1>{} <small>seed {}, by {}, {}</small></h1><p>{}</p><pre>{}</pre>",
-        escaped(&o.day),
-        o.seed,
-        escaped(&o.strategy),
-        if played.timing.real { "on real sockets" } else { "in virtual time" },
-        escaped(&played.plan.day.about),
-        escaped(&summary(played))
+        escape_html(&outcome.day),
+        outcome.seed,
+        escape_html(&outcome.strategy),
+        if completed.timing.real { "on real sockets" } else { "in virtual time" },
+        escape_html(&completed.schedule.day.about),
+        escape_html(&summary(completed))
     );
-    for (_, chart) in charts(played)? {
+    for (_, chart) in charts(completed)? {
         let _ = write!(body, "<figure>{chart}</figure>");
     }
-    let _ = write!(body, "<h2>Classes</h2>{}", table(&head, &parts(&o.classes)));
-    let _ = write!(body, "<h2>Tenants, within their shares</h2>{}", table(&head, &parts(&o.tenants)));
-    let _ = write!(body, "<h2>Attempts by end</h2>{}", table(&["", "attempts"], &ends));
-    if !troubles.is_empty() {
-        let head = ["", "from s", "until s", "size", "part"];
-        let _ = write!(body, "<h2>Troubles</h2>{}", table(&head, &troubles));
+    let _ = write!(body, "<h2>Classes</h2>{}", html_table(&header, &parts(&outcome.classes)));
+    let _ = write!(
+        body,
+        "<h2>Tenants, within their shares</h2>{}",
+        html_table(&header, &parts(&outcome.tenants))
+    );
+    let _ = write!(body, "<h2>Attempts by end</h2>{}", html_table(&["", "attempts"], &ends));
+    if !faults.is_empty() {
+        let header = ["", "from s", "until s", "size", "part"];
+        let _ = write!(body, "<h2>Troubles</h2>{}", html_table(&header, &faults));
     }
     Ok(format!(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{0}</title><style>\
@@ -228,71 +252,71 @@
          figure{{margin:1em 0}}svg{{max-width:100%;height:auto}}table{{border-collapse:collapse;margin:.5em 0}}\
          td,th{{padding:.25em .8em;text-align:right;border-bottom:1px solid #ddd}}\
          td:first-child,th:first-child{{text-align:left}}</style><body>{body}</body></html>\n",
-        escaped(&o.day)
+        escape_html(&outcome.day)
     ))
 }
 
-/// Writes a play's page and charts into its folder.
-pub fn report(played: &Played, out: &Path) -> Result<(), String> {
-    for (name, chart) in charts(played)? {
-        write(&out.join(name), &chart)?;
+/// Writes the HTML report and the charts of a run into a folder.
+pub fn write_report(completed: &CompletedRun, out: &Path) -> Result<(), String> {
+    for (name, chart) in charts(completed)? {
+        write_file(&out.join(name), &chart)?;
     }
-    write(&out.join("report.html"), &page(played)?)
+    write_file(&out.join("report.html"), &html_page(completed)?)
 }
 
-/// An experiment's first metric as bars: a group for each day, a bar for each variant, with its interval.
-pub fn bars(
+/// A bar chart of one metric: a group for each scenario, a bar with confidence interval for each variant.
+pub fn comparison_chart(
     name: &str,
     metric: &str,
     variants: &[&str],
-    figures: &BTreeMap<(String, String), Vec<serde_json::Value>>,
+    results: &BTreeMap<(String, String), Vec<serde_json::Value>>,
 ) -> Result<String, String> {
-    let mut days: Vec<&String> = figures.keys().map(|(day, _)| day).collect();
+    let mut days: Vec<&String> = results.keys().map(|(day, _)| day).collect();
     days.dedup();
-    let estimates: BTreeMap<(&str, &str), _> = figures
+    let estimates: BTreeMap<(&str, &str), _> = results
         .iter()
         .map(|((day, variant), values)| {
-            let of: Vec<f64> = values.iter().filter_map(|v| figure(v, metric)).collect();
-            ((day.as_str(), variant.as_str()), bootstrap(&of, mean))
+            let metric_values: Vec<f64> = values.iter().filter_map(|v| metric_value(v, metric)).collect();
+            ((day.as_str(), variant.as_str()), bootstrap(&metric_values, mean))
         })
         .collect();
     let top =
         estimates.values().map(|e| if e.high.is_finite() { e.high } else { e.value }).fold(0.0, f64::max)
             * 1.08;
-    let group = variants.len() as f64 + 1.0;
+    let group_width = variants.len() as f64 + 1.0;
     let width = (160 + 14 * days.len() as u32 * (variants.len() as u32 + 1)).clamp(700, 2400);
-    svg((width, 420), |area| {
+    render_svg((width, 420), |area| {
         let mut chart = ChartBuilder::on(area)
-            .caption(format!("{name}: {metric}"), TITLE)
+            .caption(format!("{name}: {metric}"), TITLE_FONT)
             .margin(8)
             .x_label_area_size(40)
             .y_label_area_size(52)
-            .build_cartesian_2d(0.0..group * days.len() as f64, 0.0..top.max(1e-6))?;
+            .build_cartesian_2d(0.0..group_width * days.len() as f64, 0.0..top.max(1e-6))?;
         let labels = days.clone();
-        chart.configure_mesh().disable_x_mesh().x_labels(0).y_desc(metric).label_style(FONT).draw()?;
+        chart.configure_mesh().disable_x_mesh().x_labels(0).y_desc(metric).label_style(LABEL_FONT).draw()?;
         for (d, day) in labels.iter().enumerate() {
-            let at = (d as f64 * group + 0.3, -top * 0.02);
-            chart.draw_series([Text::new((*day).clone(), at, ("sans-serif", 12))])?;
+            let at = (d as f64 * group_width + 0.3, -top * 0.02);
+            chart.draw_series([Text::new((*day).clone(), at, (FONT_FAMILY, 12))])?;
         }
         for (v, variant) in variants.iter().enumerate() {
-            let colour = colour(v);
+            let colour = series_colour(v);
             let bars = days.iter().enumerate().filter_map(|(d, day)| {
                 let e = estimates.get(&(day.as_str(), *variant))?;
-                let x = d as f64 * group + v as f64 + 0.5;
+                let x = d as f64 * group_width + v as f64 + 0.5;
                 Some(Rectangle::new([(x, 0.0), (x + 0.9, e.value)], colour.filled()))
             });
             let drawn = chart.draw_series(bars)?.label(*variant);
             drawn.legend(move |(x, y)| Rectangle::new([(x, y - 5), (x + 12, y + 5)], colour.filled()));
             let whiskers = days.iter().enumerate().filter_map(|(d, day)| {
                 let e = estimates.get(&(day.as_str(), *variant))?;
-                let x = d as f64 * group + v as f64 + 0.95;
+                let x = d as f64 * group_width + v as f64 + 0.95;
                 let (low, high) = (e.low.max(0.0), e.high.min(top));
                 Some(PathElement::new([(x, low), (x, high)], BLACK))
             });
             chart.draw_series(whiskers)?;
         }
         let mut legend = chart.configure_series_labels();
-        let legend = legend.background_style(WHITE.mix(0.85)).label_font(FONT);
+        let legend = legend.background_style(WHITE.mix(0.85)).label_font(LABEL_FONT);
         legend.position(SeriesLabelPosition::LowerRight).border_style(BLACK.mix(0.3)).draw()?;
         Ok(())
     })
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -1,69 +1,79 @@
-//! One day played, and what is kept of it.
+//! Runs one scenario and writes its results.
 
-use crate::processes::{own_cpu, own_memory};
+use crate::processes::{own_cpu_s, own_peak_memory_mb};
 use crate::strategies::Strategy;
 use crate::timing::Timing;
-use crate::{real, virtual_time};
-use roseproxy_emulator::day::Day;
-use roseproxy_emulator::plan::Plan;
+use crate::{real_sockets, virtual_time};
 use roseproxy_emulator::result::{outcome, Outcome, Second};
+use roseproxy_emulator::scenario::Scenario;
+use roseproxy_emulator::schedule::Schedule;
 use std::fmt::Write;
 use std::path::Path;
 use std::time::Instant;
 
-/// A day that was played.
-pub struct Played {
+/// A completed run of a scenario.
+pub struct CompletedRun {
+    /// The deterministic result.
     pub outcome: Outcome,
+    /// Values of each second.
     pub series: Vec<Second>,
+    /// Time and memory that the run took.
     pub timing: Timing,
-    pub plan: Plan,
+    /// The schedule that was run.
+    pub schedule: Schedule,
 }
 
-/// How a day is to be played.
+/// How a scenario is run.
 #[derive(Clone, Debug, Default)]
-pub struct How {
+pub struct RunOptions {
+    /// The strategy of all sidecars; real sockets support [`Strategy::Module`] only.
     pub strategy: Strategy,
-    /// The program to start, on real sockets; `None` for virtual time.
+    /// The sidecar program to start on real sockets; `None` runs in virtual time.
     pub program: Option<std::path::PathBuf>,
-    /// Shows a live table while it plays.
-    pub live: bool,
+    /// Shows a live table during a run on real sockets.
+    pub live_table: bool,
 }
 
-/// Plays a day.
-pub fn play(day: &Day, seed: u64, how: &How) -> Result<Played, String> {
-    let (plan, began) = (Plan::draw(day, seed), Instant::now());
-    let kept = plan.clone();
-    let name = how.strategy.name();
-    let (outcome, series, mut timing) = match &how.program {
+/// Runs a scenario with a seed.
+pub fn run_scenario(scenario: &Scenario, seed: u64, options: &RunOptions) -> Result<CompletedRun, String> {
+    let (schedule, began) = (Schedule::draw(scenario, seed), Instant::now());
+    let returned_schedule = schedule.clone();
+    let name = options.strategy.name();
+    let (outcome, series, mut timing) = match &options.program {
         Some(program) => {
-            if how.strategy != Strategy::Module {
+            if options.strategy != Strategy::Module {
                 return Err(
-                    "--strategy: yardsticks play in virtual time; real sidecars decide by the module".into(),
+                    "--strategy: baseline strategies run in virtual time only; real sidecars use the module"
+                        .into(),
                 );
             }
-            real::play(plan, program, how.live, |world| outcome(world, &name))?
+            real_sockets::run(schedule, program, options.live_table, |simulation| outcome(simulation, &name))?
         }
         None => {
-            let cpu = own_cpu();
+            let cpu_s_before = own_cpu_s();
             let (outcome, series) =
-                virtual_time::play(plan, how.strategy, None, |world| outcome(world, &name))?;
-            let timing = Timing { cpu_s: own_cpu() - cpu, memory_mb: own_memory(), ..Timing::default() };
+                virtual_time::run(schedule, options.strategy, None, |simulation| outcome(simulation, &name))?;
+            let timing = Timing {
+                cpu_s: own_cpu_s() - cpu_s_before,
+                memory_mb: own_peak_memory_mb(),
+                ..Timing::default()
+            };
             (outcome, series, timing)
         }
     };
     timing.wall_s = began.elapsed().as_secs_f64();
-    timing.speed_up = day.length_s / timing.wall_s.max(1e-9);
-    timing.real = how.program.is_some();
-    Ok(Played { outcome, series, timing, plan: kept })
+    timing.speed_up = scenario.length_s / timing.wall_s.max(1e-9);
+    timing.real = options.program.is_some();
+    Ok(CompletedRun { outcome, series, timing, schedule: returned_schedule })
 }
 
-/// The deterministic text of a result.
-pub fn result_text(outcome: &Outcome) -> Result<String, String> {
+/// The result as JSON; equal runs give equal text.
+pub fn result_json(outcome: &Outcome) -> Result<String, String> {
     serde_json::to_string_pretty(outcome).map(|t| t + "\n").map_err(|e| e.to_string())
 }
 
-/// The series as CSV.
-pub fn series_text(series: &[Second]) -> String {
+/// The values of each second as CSV.
+pub fn series_csv(series: &[Second]) -> String {
     let servers = series.iter().map(|s| s.fleet.held.len()).max().unwrap_or(0);
     let mut text = String::from("second,worth,served,tries,refused,p50_ms,p99_ms,slow,capacity,idle");
     for server in 0..servers {
@@ -85,55 +95,61 @@
     text
 }
 
-/// Writes a file, and says which one could not be.
-pub fn write(path: &Path, text: &str) -> Result<(), String> {
+/// Writes a file and creates its folder; the error names the path.
+pub fn write_file(path: &Path, text: &str) -> Result<(), String> {
     if let Some(parent) = path.parent() {
         std::fs::create_dir_all(parent).map_err(|e| format!("{}: {e}", parent.display()))?;
     }
     std::fs::write(path, text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-/// Keeps a play in a folder.
-pub fn keep(played: &Played, out: &Path) -> Result<(), String> {
-    write(&out.join("result.json"), &result_text(&played.outcome)?)?;
-    let timing = serde_json::to_string_pretty(&played.timing).map_err(|e| e.to_string())?;
-    write(&out.join("timing.json"), &(timing + "\n"))?;
-    write(&out.join("series.csv"), &series_text(&played.series))
+/// Writes the result, the timing and the series of a run into a folder.
+pub fn write_results(completed: &CompletedRun, out: &Path) -> Result<(), String> {
+    write_file(&out.join("result.json"), &result_json(&completed.outcome)?)?;
+    let timing = serde_json::to_string_pretty(&completed.timing).map_err(|e| e.to_string())?;
+    write_file(&out.join("timing.json"), &(timing + "\n"))?;
+    write_file(&out.join("series.csv"), &series_csv(&completed.series))
 }
 
-/// A play in a few lines for the terminal.
-pub fn summary(played: &Played) -> String {
-    let (o, t) = (&played.outcome, &played.timing);
+/// Summarizes a run in a few lines for the terminal.
+pub fn summary(completed: &CompletedRun) -> String {
+    let (outcome, timing) = (&completed.outcome, &completed.timing);
     let mut text = String::new();
-    let mut line = |s: String| {
-        let _ = writeln!(text, "{s}");
+    let mut line = |content: String| {
+        let _ = writeln!(text, "{content}");
     };
     line(format!(
         "{} seed {} by {}: service {:.3}, worst 10 s {:.3}, worst class {:.3}, worst tenant {:.3}",
-        o.day, o.seed, o.strategy, o.service, o.worst_window, o.worst_class, o.worst_tenant
+        outcome.day,
+        outcome.seed,
+        outcome.strategy,
+        outcome.service,
+        outcome.worst_window,
+        outcome.worst_class,
+        outcome.worst_tenant
     ));
-    let f = &o.flows;
+    let flows = &outcome.flows;
     line(format!(
         "flows: {} asked, {} served, {} late, {} refused, {} failed; tries {}, refused {:.1}% of them ({:.0}% of those to be regretted)",
-        f.asked, f.served, f.late, f.refused, f.failed, o.tries.sent,
-        o.refusals.tries_share * 100.0, o.refusals.regretted_share * 100.0
+        flows.asked, flows.served, flows.late, flows.refused, flows.failed, outcome.tries.sent,
+        outcome.refusals.tries_share * 100.0, outcome.refusals.regretted_share * 100.0
     ));
-    let l = &o.latency;
+    let latency = &outcome.latency;
     line(format!(
         "latency ms: p50 {:.0}, p90 {:.0}, p99 {:.0}, p99.9 {:.0}; cores idle {:.0}%; servers turned slow {} times",
-        l.p50, l.p90, l.p99, l.p999, o.servers.idle_share * 100.0, o.servers.chokes
+        latency.p50, latency.p90, latency.p99, latency.p999, outcome.servers.idle_share * 100.0, outcome.servers.chokes
     ));
     line(format!(
         "{:.2} s wall, {:.1} times real time, {:.2} s CPU, {:.0} MB",
-        t.wall_s, t.speed_up, t.cpu_s, t.memory_mb
+        timing.wall_s, timing.speed_up, timing.cpu_s, timing.memory_mb
     ));
-    for (rule, count) in &o.violation_counts {
+    for (rule, count) in &outcome.violation_counts {
         line(format!("BROKEN {rule}: {count} times"));
     }
-    for v in o.violations.iter().take(5) {
-        let flow = v.flow.map_or(String::new(), |f| format!(", flow {f}"));
-        let sidecar = v.sidecar.map_or(String::new(), |s| format!(" by sidecar {s}"));
-        line(format!("  {:?} at {:.0} ms{sidecar}{flow}: {}", v.rule, v.at, v.what));
+    for violation in outcome.violations.iter().take(5) {
+        let flow = violation.flow.map_or(String::new(), |f| format!(", flow {f}"));
+        let sidecar = violation.sidecar.map_or(String::new(), |s| format!(" by sidecar {s}"));
+        line(format!("  {:?} at {:.0} ms{sidecar}{flow}: {}", violation.rule, violation.at, violation.what));
     }
     text
 }
--- a/crates/lab/src/scale/audit.rs
+++ b/crates/lab/src/scale/audit.rs
@@ -1,36 +1,37 @@
-//! The rules that sends and answers are held against, as seen from outside the sidecars.
+//! Checks requests, attempts and answers against the rules, as seen from outside the sidecars.
 
 use super::experiment::Experiment;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// Attempts that one request may have, the classes' names, and whether work of a class may run again.
+/// Most attempts of one request.
 pub const MAX_ATTEMPTS: usize = 3;
-/// The class whose requests may run again, and the one whose may not.
+/// The class whose requests may run more than once.
 pub const SAFE_CLASS: &str = "quote";
+/// The class whose requests may run only once.
 pub const UNSAFE_CLASS: &str = "place-order";
-/// Nothing new may be sent to a server this long after its drain was told to the sidecar (ms).
-const DRAIN_GRACE: f64 = 1_500.0;
-/// What the clocks of both sides, and a message under way, may differ by (ms).
-const SLACK: f64 = 250.0;
+/// Time after a sidecar is told that a server drains until it may send nothing new to that server.
+const DRAIN_GRACE_MS: f64 = 1_500.0;
+/// Tolerance for the clocks of both sides and for messages in flight.
+const TIMING_TOLERANCE_MS: f64 = 250.0;
 
-/// A rule.
+/// A rule that the audit checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rule {
-    /// A server was sent a request that no application asked for.
+    /// A server received a request that no application had open.
     UnknownRequest,
-    /// A request had more attempts than it may.
+    /// A request had more than `MAX_ATTEMPTS` attempts.
     TooManyAttempts,
-    /// A request that may not run again did.
+    /// A request of the unsafe class ran a second time.
     SecondRun,
-    /// A server was sent a request after the grace of its drain.
+    /// A server received a request after the grace period of its drain.
     SentToDraining,
-    /// A request had no answer within its time.
+    /// A request had no answer within its time-out.
     Unanswered,
-    /// The connection of a request ended without an answer, though its sidecar ran.
+    /// The connection of a request ended without an answer although its sidecar was running.
     Lost,
 }
 
-/// A request that is open.
+/// A request that has not ended, or has ended less than the tolerance ago.
 struct OpenRequest {
     sidecar: usize,
     safe: bool,
@@ -38,54 +39,55 @@
     runs: usize,
 }
 
-/// What was seen of requests, and the rules that were broken.
+/// The open requests and drains that were observed, and the rules that were broken.
 #[derive(Default)]
 pub struct Audit {
     open: HashMap<u64, OpenRequest>,
-    /// Requests that have ended, in order, until no attempt of theirs can be under way any more (ms).
+    /// Ended requests (ms, id) in order, kept until no attempt of them can still be in flight.
     ended: VecDeque<(f64, u64)>,
-    /// Since when a sidecar knows of a server's drain (ms).
+    /// When each sidecar was first told that a server drains (ms), by sidecar and server.
     draining: HashMap<(usize, usize), f64>,
-    broken: BTreeMap<String, u64>,
-    first: BTreeMap<String, String>,
-    slack: f64,
+    violation_counts: BTreeMap<String, u64>,
+    first_violations: BTreeMap<String, String>,
+    tolerance_ms: f64,
 }
 
 impl Audit {
-    /// Nothing seen yet; the slack covers the longest way of a message.
+    /// An empty audit; its tolerance includes the longest one-way delay of the network.
     pub fn new(experiment: &Experiment) -> Audit {
         let network = &experiment.network;
-        let way = network.same_region_ms.max(network.cross_region_ms);
-        Audit { slack: SLACK + way, ..Audit::default() }
+        let longest_delay_ms = network.same_region_ms.max(network.cross_region_ms);
+        Audit { tolerance_ms: TIMING_TOLERANCE_MS + longest_delay_ms, ..Audit::default() }
     }
 
-    /// A rule was broken.
-    pub fn broke(&mut self, rule: Rule, what: impl FnOnce() -> String) {
+    /// Records that a rule was broken; `describe` is used for the first case of each rule.
+    pub fn record_violation(&mut self, rule: Rule, describe: impl FnOnce() -> String) {
         let name = format!("{rule:?}");
-        self.first.entry(name.clone()).or_insert_with(what);
-        *self.broken.entry(name).or_default() += 1;
+        self.first_violations.entry(name.clone()).or_insert_with(describe);
+        *self.violation_counts.entry(name).or_default() += 1;
     }
 
-    /// An application sends a request.
-    pub fn sent(&mut self, id: u64, sidecar: usize, safe: bool) {
+    /// Records that an application has sent a request.
+    pub fn request_sent(&mut self, id: u64, sidecar: usize, safe: bool) {
         self.open.insert(id, OpenRequest { sidecar, safe, attempts: 0, runs: 0 });
     }
 
-    /// A request has ended; an attempt of it that comes much later is one that nobody asked for.
-    pub fn ended(&mut self, now: f64, id: u64) {
+    /// Records that a request has ended. A server that receives an attempt of it later than the tolerance breaks
+    /// [`Rule::UnknownRequest`].
+    pub fn request_ended(&mut self, now: f64, id: u64) {
         self.ended.push_back((now, id));
-        self.forget_ended(now);
+        self.remove_ended(now);
     }
 
-    fn forget_ended(&mut self, now: f64) {
-        while let Some((_, id)) = self.ended.front().filter(|(at, _)| now - at > self.slack) {
+    fn remove_ended(&mut self, now: f64) {
+        while let Some((_, id)) = self.ended.front().filter(|(at, _)| now - at > self.tolerance_ms) {
             self.open.remove(id);
             self.ended.pop_front();
         }
     }
 
-    /// A sidecar was told of a server.
-    pub fn told(&mut self, now: f64, sidecar: usize, server: usize, in_service: bool) {
+    /// Records that a sidecar was told the state of a server.
+    pub fn server_state_told(&mut self, now: f64, sidecar: usize, server: usize, in_service: bool) {
         if in_service {
             self.draining.remove(&(sidecar, server));
         } else {
@@ -93,37 +95,40 @@
         }
     }
 
-    /// An attempt came to a server, which begins to work on it now.
-    pub fn attempt(&mut self, now: f64, id: u64, server: usize) {
-        self.forget_ended(now);
+    /// Records that a server has received an attempt and begins to work on it.
+    pub fn attempt_received(&mut self, now: f64, id: u64, server: usize) {
+        self.remove_ended(now);
         let Some(request) = self.open.get_mut(&id) else {
-            return self.broke(Rule::UnknownRequest, || format!("id {id:016x} at server {server}"));
+            return self
+                .record_violation(Rule::UnknownRequest, || format!("id {id:016x} at server {server}"));
         };
         request.attempts += 1;
         request.runs += 1;
         let (attempts, sidecar) = (request.attempts, request.sidecar);
         if !request.safe && request.runs > 1 {
-            self.broke(Rule::SecondRun, || format!("id {id:016x} of sidecar {sidecar} at server {server}"));
+            self.record_violation(Rule::SecondRun, || {
+                format!("id {id:016x} of sidecar {sidecar} at server {server}")
+            });
         }
         if attempts > MAX_ATTEMPTS {
-            self.broke(Rule::TooManyAttempts, || format!("{attempts} of id {id:016x}"));
+            self.record_violation(Rule::TooManyAttempts, || format!("{attempts} of id {id:016x}"));
         }
         let since = self.draining.get(&(sidecar, server)).copied();
-        if let Some(since) = since.filter(|since| now - since > DRAIN_GRACE + self.slack) {
-            let late = now - since;
-            self.broke(Rule::SentToDraining, || {
-                format!("{late:.0} ms after sidecar {sidecar} was told of server {server}")
+        if let Some(since) = since.filter(|since| now - since > DRAIN_GRACE_MS + self.tolerance_ms) {
+            let late_ms = now - since;
+            self.record_violation(Rule::SentToDraining, || {
+                format!("{late_ms:.0} ms after sidecar {sidecar} was told of server {server}")
             });
         }
     }
 
-    /// Broken rules with their counts.
-    pub fn broken(&self) -> &BTreeMap<String, u64> {
-        &self.broken
+    /// How often each rule was broken.
+    pub fn violation_counts(&self) -> &BTreeMap<String, u64> {
+        &self.violation_counts
     }
 
-    /// The first case of each broken rule.
-    pub fn first(&self) -> &BTreeMap<String, String> {
-        &self.first
+    /// Description of the first case of each broken rule.
+    pub fn first_violations(&self) -> &BTreeMap<String, String> {
+        &self.first_violations
     }
 }
--- a/crates/lab/src/scale/changes.rs
+++ b/crates/lab/src/scale/changes.rs
@@ -1,57 +1,57 @@
-//! Changes of configuration: config servers that drain, restart and come back under their names.
+//! Configuration changes: config servers that drain, restart and come back under the same name.
 
 use super::discovery::Phase;
-use super::experiment::{FaultKind, DAY_S};
+use super::experiment::{FaultKind, SECONDS_PER_DAY};
 use super::link::Link;
 use super::simulation::Simulation;
 use roseproxy_emulator::fabric::Fabric;
-use roseproxy_emulator::plan::hashed;
+use roseproxy_emulator::schedule::hashed;
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
-/// How long a server drains, and how long its restart takes (ms).
-const DRAIN: f64 = 4_000.0;
-const RESTART: f64 = 1_000.0;
-/// How often it is looked whether a change is due (ms).
-const STEP: f64 = 100.0;
-/// Changes that one restart makes: it drains, and it is back.
-const PER_RESTART: f64 = 2.0;
+const DRAIN_MS: f64 = 4_000.0;
+const RESTART_MS: f64 = 1_000.0;
+/// How often the publisher checks whether a change is due.
+const CHECK_INTERVAL_MS: f64 = 100.0;
+/// List changes per restart: one when the server begins to drain, one when it is back in service.
+const CHANGES_PER_RESTART: f64 = 2.0;
 
-/// Publishes changes at their rate, until it is dropped; the first comes after half of its gap.
-pub async fn publish<F: Fabric>(simulation: Rc<Simulation<F>>) {
+/// Publishes changes at the configured rate until the future is dropped. The first restart comes after half of the
+/// interval between restarts.
+pub async fn publish_changes<F: Fabric>(simulation: Rc<Simulation<F>>) {
     let markers = simulation.experiment.changes.markers_s.clone();
     for marker in markers {
         let simulation = simulation.clone();
         spawn_local(async move {
-            simulation.until(simulation.at(marker)).await;
-            mark(&simulation);
+            simulation.sleep_until(simulation.run_time_ms(marker)).await;
+            publish_marker(&simulation);
         });
     }
-    let mut due = PER_RESTART / 2.0;
+    let mut changes_due = CHANGES_PER_RESTART / 2.0;
     for restart in 0.. {
-        while due < PER_RESTART {
-            simulation.sleep(STEP).await;
-            due += rate_per_s(&simulation) * STEP / 1e3;
+        while changes_due < CHANGES_PER_RESTART {
+            simulation.sleep(CHECK_INTERVAL_MS).await;
+            changes_due += changes_per_s(&simulation) * CHECK_INTERVAL_MS / 1e3;
         }
-        due -= PER_RESTART;
+        changes_due -= CHANGES_PER_RESTART;
         if let Some(server) = next_server(&simulation, restart) {
             spawn_local(restart_server(simulation.clone(), server));
         }
     }
 }
 
-/// Changes a second now.
-fn rate_per_s<F: Fabric>(simulation: &Simulation<F>) -> f64 {
+/// Current rate of changes, with the faults that multiply it.
+fn changes_per_s<F: Fabric>(simulation: &Simulation<F>) -> f64 {
     let now = simulation.now();
     let faults = simulation.experiment.faults.iter().filter(|f| {
         f.kind == FaultKind::Changes
-            && (simulation.at(f.at_s)..simulation.at(f.at_s + f.len_s)).contains(&now)
+            && (simulation.run_time_ms(f.at_s)..simulation.run_time_ms(f.at_s + f.len_s)).contains(&now)
     });
-    let times: f64 = faults.map(|f| f.times).product();
-    simulation.experiment.changes.per_day * times / DAY_S
+    let rate_factor: f64 = faults.map(|f| f.times).product();
+    simulation.experiment.changes.per_day * rate_factor / SECONDS_PER_DAY
 }
 
-/// A server in service, drawn.
+/// Draws a server that is in service and reachable from all regions.
 fn next_server<F: Fabric>(simulation: &Simulation<F>, restart: u64) -> Option<usize> {
     let servers = simulation.experiment.fleet.servers;
     let first = (hashed(simulation.experiment.seed, &[7, restart]) * servers as f64) as usize;
@@ -62,28 +62,28 @@
     })
 }
 
-/// Publishes entries as one change.
+/// Publishes list entries as one change; `phase` is their new phase, `None` leaves it unchanged.
 pub fn publish_entries<F: Fabric>(simulation: &Simulation<F>, servers: &[usize], phase: Option<Phase>) {
     let revision = simulation.discovery.publish(servers, phase, simulation.unix_now());
-    simulation.published(revision);
+    simulation.record_published(revision);
 }
 
-/// Publishes an entry once more with nothing changed.
-pub fn mark<F: Fabric>(simulation: &Simulation<F>) {
+/// Publishes a marker: an entry with a new revision and nothing else changed, to time how a change spreads.
+pub fn publish_marker<F: Fabric>(simulation: &Simulation<F>) {
     publish_entries(simulation, &[0], None);
 }
 
-/// A server drains, restarts and comes back.
+/// Drains a server, takes it down for its restart and puts it back into service.
 async fn restart_server<F: Fabric>(simulation: Rc<Simulation<F>>, number: usize) {
     publish_entries(&simulation, &[number], Some(Phase::Terminating));
-    simulation.sleep(DRAIN).await;
+    simulation.sleep(DRAIN_MS).await;
     let server = &simulation.servers[number];
-    // One that was cut off meanwhile stays so.
+    // A fault has cut the server off in the meantime: the fault decides when it is back.
     if server.links.iter().any(|link| *link.borrow() != Link::Up) {
         return;
     }
     server.set_links(Link::Down);
-    simulation.sleep(RESTART).await;
+    simulation.sleep(RESTART_MS).await;
     server.set_links(Link::Up);
     publish_entries(&simulation, &[number], Some(Phase::InService));
 }
--- a/crates/lab/src/scale/config_server.rs
+++ b/crates/lab/src/scale/config_server.rs
@@ -1,4 +1,4 @@
-//! A hollow config server: it answers probes and requests after a time, and has no queue.
+//! A simplified config server: answers probes and requests after a delay, and has no queue.
 
 use super::link::{Accepted, Link, Service};
 use super::metered::ByteCount;
@@ -6,28 +6,28 @@
 use super::simulation::Simulation;
 use roseproxy_emulator::fabric::Fabric;
 use roseproxy_emulator::http::{answer_bytes, Request};
-use roseproxy_emulator::plan::hashed;
+use roseproxy_emulator::schedule::hashed;
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// Cores that its load report counts in.
-const CORES: f64 = 4.0;
+/// Cores on which the utilisation in load reports is based.
+const REPORTED_CORES: f64 = 4.0;
 
-/// Where an answer carries a load report.
+/// Header in which an answer carries a load report.
 const REPORT_HEADER: &str = "server-load";
 
-/// A config server.
+/// A simulated config server.
 pub struct ConfigServer {
-    /// The way to it from each region.
+    /// The network path to the server from each region.
     pub links: Vec<watch::Sender<Link>>,
-    /// What came to it.
+    /// What the server has received.
     pub counts: Cell<ServerCounts>,
     in_flight: Cell<u32>,
 }
 
 impl ConfigServer {
-    /// A server that can be reached.
+    /// A server that all regions can reach.
     pub fn new(regions: usize) -> ConfigServer {
         ConfigServer {
             links: (0..regions).map(|_| watch::channel(Link::Up).0).collect(),
@@ -36,10 +36,10 @@
         }
     }
 
-    /// Sets all ways to it.
+    /// Sets the network paths from all regions.
     pub fn set_links(&self, link: Link) {
-        for way in &self.links {
-            way.send_replace(link);
+        for path in &self.links {
+            path.send_replace(link);
         }
     }
 
@@ -49,14 +49,14 @@
         self.counts.set(counts);
     }
 
-    fn report(&self) -> String {
+    fn load_report(&self) -> String {
         let in_flight = self.in_flight.get();
-        let utilisation = (f64::from(in_flight) / CORES).min(1.0);
+        let utilisation = (f64::from(in_flight) / REPORTED_CORES).min(1.0);
         format!("TEXT inflight={in_flight}, queue=0, util={utilisation:.2}")
     }
 }
 
-/// A request that a server works on.
+/// Counts a request as in flight at a server until it is dropped.
 struct InFlight<'a>(&'a ConfigServer);
 
 impl<'a> InFlight<'a> {
@@ -72,13 +72,13 @@
     }
 }
 
-/// A config server as the sidecars of one region reach it.
+/// A config server at the address that the sidecars of one region use.
 pub struct ServerService<F: Fabric> {
-    /// The simulation.
+    /// The simulation that the server belongs to.
     pub simulation: Rc<Simulation<F>>,
-    /// Its number.
+    /// Number of the server.
     pub server: usize,
-    /// The region that its clients are in.
+    /// Region of the sidecars that use this address.
     pub from_region: usize,
 }
 
@@ -96,15 +96,15 @@
     async fn serve(&self, wire: &mut Accepted<F>, bytes: Rc<ByteCount>) {
         let server = &self.simulation.servers[self.server];
         server.count(|c| c.connects += 1);
-        let mut counted = 0;
+        let mut counted_bytes = 0;
         while let Ok(request) = wire.request().await {
             let probe = request.path == "/stats";
-            let fine = if probe { self.probe(wire).await } else { self.attempt(wire, &request).await };
+            let connected = if probe { self.probe(wire).await } else { self.attempt(wire, &request).await };
             let now = bytes.get();
-            let new = now - counted;
-            counted = now;
-            server.count(|c| if probe { c.probe_bytes += new } else { c.attempt_bytes += new });
-            if !fine {
+            let new_bytes = now - counted_bytes;
+            counted_bytes = now;
+            server.count(|c| if probe { c.probe_bytes += new_bytes } else { c.attempt_bytes += new_bytes });
+            if !connected {
                 return;
             }
         }
@@ -112,7 +112,7 @@
 }
 
 impl<F: Fabric> ServerService<F> {
-    fn way(&self) -> f64 {
+    fn one_way_delay_ms(&self) -> f64 {
         let network = &self.simulation.experiment.network;
         if self.simulation.topology.region(self.server) == self.from_region {
             network.same_region_ms
@@ -121,15 +121,15 @@
         }
     }
 
-    /// Answers a probe; false where the connection ends.
+    /// Answers a probe. Returns false if the connection has ended.
     async fn probe(&self, wire: &mut Accepted<F>) -> bool {
         let server = &self.simulation.servers[self.server];
         server.count(|c| c.probes += 1);
-        self.simulation.sleep(2.0 * self.way()).await;
-        wire.write(&answer_bytes(200, &[], server.report().as_bytes())).await.is_ok()
+        self.simulation.sleep(2.0 * self.one_way_delay_ms()).await;
+        wire.write(&answer_bytes(200, &[], server.load_report().as_bytes())).await.is_ok()
     }
 
-    /// Answers a request; false where the connection ends.
+    /// Answers a request. Returns false if the connection has ended.
     async fn attempt(&self, wire: &mut Accepted<F>, request: &Request) -> bool {
         let (simulation, server) = (&self.simulation, &self.simulation.servers[self.server]);
         let id = request.header("request-id").and_then(|id| u64::from_str_radix(id, 16).ok());
@@ -137,21 +137,23 @@
             return wire.write(&answer_bytes(404, &[], b"no id\n")).await.is_ok();
         };
         server.count(|c| c.attempts += 1);
-        simulation.audit.borrow_mut().attempt(simulation.now(), id, self.server);
+        simulation.audit.borrow_mut().attempt_received(simulation.now(), id, self.server);
         let _in_flight = InFlight::begin(server);
-        // From half to one and a half times the mean.
-        let work = simulation.experiment.calls.work_ms * (0.5 + hashed(simulation.experiment.seed, &[1, id]));
-        let answered = async {
-            simulation.sleep(2.0 * self.way() + work).await;
+        // Uniform between 0.5 and 1.5 times the mean.
+        let work_ms =
+            simulation.experiment.calls.work_ms * (0.5 + hashed(simulation.experiment.seed, &[1, id]));
+        let work_done = async {
+            simulation.sleep(2.0 * self.one_way_delay_ms() + work_ms).await;
         };
         tokio::select! {
             biased;
-            () = answered => {}
-            // The sidecar has given it up.
+            () = work_done => {}
+            // The sidecar has cancelled the attempt by closing the connection.
             more = wire.more() => if !matches!(more, Ok(true)) { return false },
         }
         let body = format!("{{\"id\":\"{id:016x}\",\"server\":\"cs-{:04}\",\"valid\":true}}\n", self.server);
-        let report = simulation.experiment.fleet.report_in_answers.then(|| (REPORT_HEADER, server.report()));
+        let report =
+            simulation.experiment.fleet.report_in_answers.then(|| (REPORT_HEADER, server.load_report()));
         wire.write(&answer_bytes(200, report.as_slice(), body.as_bytes())).await.is_ok()
     }
 }
--- a/crates/lab/src/scale/discovery.rs
+++ b/crates/lab/src/scale/discovery.rs
@@ -1,7 +1,7 @@
-//! A hollow discovery: one list with versions, and a service that answers calls in turn.
+//! A simplified discovery: one list with revisions, and a service that answers calls one after another.
 //!
-//! It speaks as the emulator's discovery does, for more servers and sidecars than that one bears on sockets:
-//! the list is the same for all sidecars of a region, and is built once for each version.
+//! It uses the protocol of the emulator's discovery, but supports more servers and sidecars on sockets than that
+//! one: the list is the same for all sidecars of a region and is built once per revision.
 
 use super::link::{Accepted, Link, Service};
 use super::metered::ByteCount;
@@ -17,25 +17,26 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// How often an idle watch beats.
-const HEARTBEAT: Duration = Duration::from_millis(2_000);
-/// Where the list is, and how a watch on it is asked for.
-const LIST: &str = "/registry/instances";
-const WATCH: &str = "?stream=1&index=";
+/// How often a watch without changes sends a heartbeat.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(2_000);
+/// Path of the list.
+const LIST_PATH: &str = "/registry/instances";
+/// Query of a watch on the list, up to the revision.
+const WATCH_QUERY: &str = "?stream=1&index=";
 
-/// What the list says of a server.
+/// The phase of a server in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It is in service.
+    /// The server is in service.
     InService,
-    /// It finishes what it has.
+    /// The server drains: it finishes its requests and takes no new ones.
     Terminating,
-    /// It is gone: only among changes.
+    /// The server is gone; appears in updates only, not in the whole list.
     Terminated,
 }
 
 impl Phase {
-    fn word(self) -> &'static str {
+    fn name(self) -> &'static str {
         match self {
             Phase::InService => "in_service",
             Phase::Terminating => "terminating",
@@ -48,40 +49,40 @@
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     phase: Phase,
-    /// Unix time (ms) of the last start; 0 for long ago.
-    up_since: f64,
+    /// Unix time of the last start; 0 if the server did not start during the run.
+    up_since_ms: f64,
     revision: u64,
 }
 
-/// A text of the list, with the servers that it names and whether each is in service.
+/// A serialized list or update, with the servers in it and whether each is in service.
 struct Listing {
     text: Rc<str>,
-    named: Rc<[(usize, bool)]>,
+    servers: Rc<[(usize, bool)]>,
 }
 
 impl Clone for Listing {
     fn clone(&self) -> Listing {
-        Listing { text: self.text.clone(), named: self.named.clone() }
+        Listing { text: self.text.clone(), servers: self.servers.clone() }
     }
 }
 
-/// Discovery.
+/// The simulated discovery service.
 pub struct Discovery {
     entries: RefCell<Vec<Entry>>,
     revision: watch::Sender<u64>,
-    /// Texts of the present version, by region and by the version that they begin behind.
-    texts: RefCell<HashMap<(usize, Option<u64>), Listing>>,
-    /// When the service is free for the next call (ms).
-    free_at: Cell<f64>,
-    /// The way to it from each region.
+    /// Listings of the current revision, by region and by the revision after which they begin (`None`: whole list).
+    listings: RefCell<HashMap<(usize, Option<u64>), Listing>>,
+    /// When the service has finished the calls that it has taken.
+    free_at_ms: Cell<f64>,
+    /// The network path to discovery from each region.
     pub links: Vec<watch::Sender<Link>>,
-    /// What came to it.
+    /// What discovery has received.
     pub counts: Cell<DiscoveryCounts>,
-    /// Watches that are open.
-    watching: Rc<Cell<usize>>,
+    /// Number of open watches.
+    open_watches: Rc<Cell<usize>>,
 }
 
-/// A watch that is open.
+/// Counts a watch as open until it is dropped.
 struct OpenWatch(Rc<Cell<usize>>);
 
 impl Drop for OpenWatch {
@@ -91,41 +92,41 @@
 }
 
 impl Discovery {
-    /// Discovery of so many servers, all of them in service.
+    /// Discovery with this number of servers, all in service.
     pub fn new(servers: usize, regions: usize) -> Discovery {
-        let entry = Entry { phase: Phase::InService, up_since: 0.0, revision: 1 };
+        let entry = Entry { phase: Phase::InService, up_since_ms: 0.0, revision: 1 };
         Discovery {
             entries: RefCell::new(vec![entry; servers]),
             revision: watch::channel(1).0,
-            texts: RefCell::default(),
-            free_at: Cell::new(0.0),
+            listings: RefCell::default(),
+            free_at_ms: Cell::new(0.0),
             links: (0..regions).map(|_| watch::channel(Link::Up).0).collect(),
             counts: Cell::default(),
-            watching: Rc::default(),
+            open_watches: Rc::default(),
         }
     }
 
-    /// How many watches are open.
-    pub fn watching(&self) -> usize {
-        self.watching.get()
+    /// Number of open watches.
+    pub fn open_watches(&self) -> usize {
+        self.open_watches.get()
     }
 
     fn open_watch(&self) -> OpenWatch {
-        self.watching.set(self.watching.get() + 1);
-        OpenWatch(self.watching.clone())
+        self.open_watches.set(self.open_watches.get() + 1);
+        OpenWatch(self.open_watches.clone())
     }
 
-    /// The present version.
+    /// The current revision.
     pub fn revision(&self) -> u64 {
         *self.revision.borrow()
     }
 
-    /// What the list says of a server.
+    /// The phase of a server in the list.
     pub fn phase(&self, server: usize) -> Phase {
         self.entries.borrow()[server].phase
     }
 
-    /// Publishes entries as one new version, and returns it. `None` leaves an entry as it is.
+    /// Publishes entries as one new revision and returns it. Without a phase, entries change only their revision.
     pub fn publish(&self, servers: &[usize], phase: Option<Phase>, now: f64) -> u64 {
         let revision = self.revision() + 1;
         for server in servers {
@@ -135,11 +136,11 @@
             if let Some(phase) = phase {
                 entry.phase = phase;
                 if phase == Phase::InService {
-                    entry.up_since = now;
+                    entry.up_since_ms = now;
                 }
             }
         }
-        self.texts.borrow_mut().clear();
+        self.listings.borrow_mut().clear();
         self.revision.send_replace(revision);
         revision
     }
@@ -151,19 +152,19 @@
     }
 }
 
-/// The whole list as a region sees it, or what changed after a version.
+/// The list with the addresses of a region: the whole list, or the entries that changed after a revision.
 fn listing<F: Fabric>(simulation: &Simulation<F>, region: usize, after: Option<u64>) -> Listing {
     let discovery = &simulation.discovery;
-    if let Some(known) = discovery.texts.borrow().get(&(region, after)) {
+    if let Some(known) = discovery.listings.borrow().get(&(region, after)) {
         return known.clone();
     }
     let (mut members, mut named) = (Vec::new(), Vec::new());
     for (server, entry) in discovery.entries.borrow().iter().enumerate() {
-        let shown = match after {
+        let included = match after {
             Some(revision) => entry.revision > revision,
             None => entry.phase != Phase::Terminated,
         };
-        if !shown {
+        if !included {
             continue;
         }
         named.push((server, entry.phase == Phase::InService));
@@ -173,36 +174,39 @@
             "locality": simulation.topology.zone_name(simulation.topology.zone(server)),
             "flavor": "m",
             "cell": server / 5,
-            "phase": entry.phase.word(),
+            "phase": entry.phase.name(),
             "size": 1.0,
-            "up_since_ms": entry.up_since,
+            "up_since_ms": entry.up_since_ms,
         }));
     }
-    let whole = json!({"revision": discovery.revision(), "complete": after.is_none(), "members": members});
-    let listing = Listing { text: whole.to_string().into(), named: named.into() };
-    discovery.texts.borrow_mut().insert((region, after), listing.clone());
+    let body = json!({"revision": discovery.revision(), "complete": after.is_none(), "members": members});
+    let listing = Listing { text: body.to_string().into(), servers: named.into() };
+    discovery.listings.borrow_mut().insert((region, after), listing.clone());
     listing
 }
 
-/// The list as it is now, for the configuration that a sidecar starts with; it counts as told.
+/// The current list for the start configuration of a sidecar; records that the sidecar was told of it.
 pub fn known_list<F: Fabric>(simulation: &Simulation<F>, sidecar: usize) -> Value {
     let listing = listing(simulation, simulation.topology.region(sidecar), None);
-    tell(simulation, sidecar, &listing);
+    record_told_servers(simulation, sidecar, &listing);
     serde_json::from_str(&listing.text).unwrap_or(Value::Null)
 }
 
-/// What was written to a sidecar counts as told.
-fn tell<F: Fabric>(simulation: &Simulation<F>, sidecar: usize, listing: &Listing) {
+/// Records in the audit that a sidecar was told of the servers of a listing.
+fn record_told_servers<F: Fabric>(simulation: &Simulation<F>, sidecar: usize, listing: &Listing) {
     let now = simulation.now();
     let mut audit = simulation.audit.borrow_mut();
-    listing.named.iter().for_each(|(server, in_service)| audit.told(now, sidecar, *server, *in_service));
+    listing
+        .servers
+        .iter()
+        .for_each(|(server, in_service)| audit.server_state_told(now, sidecar, *server, *in_service));
 }
 
-/// Discovery as one sidecar reaches it.
+/// Discovery at the address that one sidecar uses.
 pub struct DiscoveryService<F: Fabric> {
-    /// The simulation.
+    /// The simulation that discovery belongs to.
     pub simulation: Rc<Simulation<F>>,
-    /// Who calls.
+    /// The sidecar that uses this address.
     pub sidecar: usize,
 }
 
@@ -217,7 +221,7 @@
         self.discovery().count(|c| c.connects += 1);
         let mut counted = 0;
         while let Ok(request) = wire.request().await {
-            if !self.takes_turn().await {
+            if !self.wait_for_turn().await {
                 self.discovery().count(|c| c.failed += 1);
                 if wire.write(&answer_bytes(503, &[], b"")).await.is_err() {
                     return;
@@ -225,13 +229,13 @@
                 self.count_bytes(&bytes, &mut counted);
                 continue;
             }
-            let Some(query) = request.path.strip_prefix(LIST) else {
+            let Some(query) = request.path.strip_prefix(LIST_PATH) else {
                 let _ = wire.write(&answer_bytes(404, &[], b"")).await;
                 return;
             };
-            match query.strip_prefix(WATCH).map(str::parse::<u64>) {
+            match query.strip_prefix(WATCH_QUERY).map(str::parse::<u64>) {
                 None => {
-                    if self.list(wire).await.is_err() {
+                    if self.answer_list(wire).await.is_err() {
                         return;
                     }
                     self.count_bytes(&bytes, &mut counted);
@@ -240,7 +244,7 @@
                     let _ = wire.write(&answer_bytes(400, &[], b"index is no number\n")).await;
                     return;
                 }
-                Some(Ok(index)) => return self.watch(wire, index, &bytes, &mut counted).await,
+                Some(Ok(index)) => return self.serve_watch(wire, index, &bytes, &mut counted).await,
             }
         }
     }
@@ -257,78 +261,81 @@
         *counted = now;
     }
 
-    /// Waits for a call's turn; false where it would wait too long, after that time.
-    async fn takes_turn(&self) -> bool {
+    /// Waits until the service answers this call. If the wait would exceed the time-out, waits for the time-out and
+    /// returns false.
+    async fn wait_for_turn(&self) -> bool {
         let (simulation, discovery) = (&self.simulation, self.discovery());
-        let figures = &simulation.experiment.discovery;
+        let settings = &simulation.experiment.discovery;
         let now = simulation.now();
-        let begins = discovery.free_at.get().max(now);
-        if begins - now > figures.timeout_ms {
-            simulation.sleep(figures.timeout_ms).await;
+        let begin_ms = discovery.free_at_ms.get().max(now);
+        if begin_ms - now > settings.timeout_ms {
+            simulation.sleep(settings.timeout_ms).await;
             return false;
         }
-        let ends = begins + 1e3 / figures.calls_per_s;
-        discovery.free_at.set(ends);
-        simulation.until(ends).await;
+        let end_ms = begin_ms + 1e3 / settings.calls_per_s;
+        discovery.free_at_ms.set(end_ms);
+        simulation.sleep_until(end_ms).await;
         true
     }
 
-    async fn list(&self, wire: &mut Accepted<F>) -> io::Result<()> {
+    /// Answers a call for the whole list.
+    async fn answer_list(&self, wire: &mut Accepted<F>) -> io::Result<()> {
         let region = self.simulation.topology.region(self.sidecar);
         let (revision, listing) = (self.discovery().revision(), listing(&self.simulation, region, None));
         self.discovery().count(|c| c.lists += 1);
         wire.write(&answer_bytes(200, &[], listing.text.as_bytes())).await?;
-        self.told(revision, &listing);
+        self.record_told(revision, &listing);
         Ok(())
     }
 
-    fn told(&self, revision: u64, listing: &Listing) {
-        tell(&self.simulation, self.sidecar, listing);
-        self.simulation.told_revision(self.sidecar, revision);
+    /// Records that the sidecar was told of a listing.
+    fn record_told(&self, revision: u64, listing: &Listing) {
+        record_told_servers(&self.simulation, self.sidecar, listing);
+        self.simulation.record_told_revision(self.sidecar, revision);
     }
 
-    /// A watch: changes as they come, a heartbeat where none do.
-    async fn watch(&self, wire: &mut Accepted<F>, index: u64, bytes: &ByteCount, counted: &mut u64) {
+    /// Serves a watch: writes changes as they are published, and heartbeats between them.
+    async fn serve_watch(&self, wire: &mut Accepted<F>, index: u64, bytes: &ByteCount, counted: &mut u64) {
         let region = self.simulation.topology.region(self.sidecar);
         let mut revision = self.discovery().revision.subscribe();
-        let mut known = *revision.borrow_and_update();
+        let mut sent_revision = *revision.borrow_and_update();
         self.discovery().count(|c| c.watches += 1);
         let _open = self.discovery().open_watch();
         let head = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
-        // A version that it never had: the whole list.
-        let mut next = Some(listing(&self.simulation, region, (index <= known).then_some(index)));
+        // An index above the current revision was never published: sends the whole list.
+        let mut next = Some(listing(&self.simulation, region, (index <= sent_revision).then_some(index)));
         if wire.write(head).await.is_err() {
             return;
         }
         loop {
             let text = next.as_ref().map_or("", |listing| &listing.text);
-            if chunk(wire, text).await.is_err() {
+            if write_chunk(wire, text).await.is_err() {
                 return;
             }
             if let Some(listing) = next.take() {
-                self.told(known, &listing);
+                self.record_told(sent_revision, &listing);
             }
             self.discovery().count(|c| c.updates += 1);
             self.count_bytes(bytes, counted);
             tokio::select! {
                 biased;
-                ended = ended(wire) => if ended { return },
+                closed = closed_by_peer(wire) => if closed { return },
                 changed = revision.changed() => {
                     if changed.is_err() {
                         return;
                     }
                     let now = *revision.borrow_and_update();
-                    next = Some(listing(&self.simulation, region, Some(known)));
-                    known = now;
+                    next = Some(listing(&self.simulation, region, Some(sent_revision)));
+                    sent_revision = now;
                 }
-                () = tokio::time::sleep(HEARTBEAT) => {}
+                () = tokio::time::sleep(HEARTBEAT_INTERVAL) => {}
             }
         }
     }
 }
 
-/// Waits until the other side has ended the connection; what it sends on a watch is passed over.
-async fn ended<S>(wire: &mut roseproxy_emulator::http::Wire<S>) -> bool
+/// Waits until the peer closes the connection; ignores data that it sends on a watch.
+async fn closed_by_peer<S>(wire: &mut roseproxy_emulator::http::Wire<S>) -> bool
 where
     S: tokio::io::AsyncRead + tokio::io::AsyncWrite + Unpin,
 {
@@ -336,7 +343,8 @@
     true
 }
 
-async fn chunk<S>(wire: &mut roseproxy_emulator::http::Wire<S>, text: &str) -> io::Result<()>
+/// Writes one chunk of a chunked response.
+async fn write_chunk<S>(wire: &mut roseproxy_emulator::http::Wire<S>, text: &str) -> io::Result<()>
 where
     S: tokio::io::AsyncRead + tokio::io::AsyncWrite + Unpin,
 {
--- a/crates/lab/src/scale/link.rs
+++ b/crates/lab/src/scale/link.rs
@@ -1,4 +1,4 @@
-//! A way in the network: up, refused or silent.
+//! Network paths that are up, refuse connections or are silent, and the listeners behind them.
 
 use super::metered::{ByteCount, Metered};
 use roseproxy_emulator::fabric::Fabric;
@@ -10,30 +10,30 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// What a way in the network does.
+/// State of a network path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Link {
-    /// Connections come up.
+    /// Connections are accepted.
     Up,
-    /// Connections are refused, and those that are open are reset.
+    /// Connections are refused; open ones are reset.
     Down,
-    /// Connections hang, and those that are open are silent; they are reset when that ends.
+    /// New connections hang and open ones are silent; they are reset when this state ends.
     Cut,
 }
 
-/// How long to wait before an address is bound once more that is not free yet (ms).
-const BIND_AGAIN: Duration = Duration::from_millis(20);
+/// Delay before the next try to bind an address that is not free yet.
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// A connection that was accepted.
+/// An accepted connection, with its bytes counted.
 pub type Accepted<F> = Wire<Metered<<F as Fabric>::Stream>>;
 
-/// What listens at an address.
+/// A service that listens at an address.
 pub trait Service<F: Fabric>: Clone + 'static {
-    /// Serves a connection until it ends; `bytes` counts what passes on it.
+    /// Serves a connection until it ends; `bytes` counts the bytes in both directions.
     fn serve(&self, wire: &mut Accepted<F>, bytes: Rc<ByteCount>) -> impl Future<Output = ()>;
 }
 
-/// Listens at an address as its link allows.
+/// Listens at an address while its link is up, and follows the link's changes until its sender is dropped.
 pub async fn listen<F: Fabric>(
     fabric: F,
     address: SocketAddr,
@@ -42,29 +42,29 @@
 ) {
     loop {
         let now = *link.borrow_and_update();
-        let goes_on = match now {
-            Link::Up => accept(&fabric, address, &mut link, &service).await,
+        let link_open = match now {
+            Link::Up => accept_until_change(&fabric, address, &mut link, &service).await,
             Link::Down => link.changed().await.is_ok(),
             Link::Cut => {
-                let _mute = fabric.mute(address).await;
+                let _connect_block = fabric.mute(address).await;
                 link.changed().await.is_ok()
             }
         };
-        if !goes_on {
+        if !link_open {
             return;
         }
     }
 }
 
-/// Accepts until the link changes; false where it never will again.
-async fn accept<F: Fabric>(
+/// Accepts connections until the link changes. Returns false if the link's sender was dropped.
+async fn accept_until_change<F: Fabric>(
     fabric: &F,
     address: SocketAddr,
     link: &mut watch::Receiver<Link>,
     service: &impl Service<F>,
 ) -> bool {
     let Ok(listener) = fabric.bind(address).await else {
-        tokio::time::sleep(BIND_AGAIN).await;
+        tokio::time::sleep(BIND_RETRY_DELAY).await;
         return true;
     };
     loop {
@@ -73,14 +73,14 @@
             changed = link.changed() => return changed.is_ok(),
             stream = fabric.accept(&listener) => {
                 let Ok(stream) = stream else { continue };
-                spawn_local(connection(fabric.clone(), stream, link.clone(), service.clone()));
+                spawn_local(serve_connection(fabric.clone(), stream, link.clone(), service.clone()));
             }
         }
     }
 }
 
-/// Serves a connection until it ends, or its link is no longer up.
-async fn connection<F: Fabric>(
+/// Serves a connection until it ends or its link is no longer up; in the latter case the connection is reset.
+async fn serve_connection<F: Fabric>(
     fabric: F,
     stream: F::Stream,
     mut link: watch::Receiver<Link>,
--- a/crates/lab/src/scale/metered.rs
+++ b/crates/lab/src/scale/metered.rs
@@ -1,4 +1,4 @@
-//! Streams whose bytes are counted.
+//! Streams that count their bytes.
 
 use std::cell::Cell;
 use std::io;
@@ -7,12 +7,12 @@
 use std::task::{ready, Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Bytes that have passed, both ways together.
+/// Number of bytes in both directions together.
 #[derive(Debug, Default)]
 pub struct ByteCount(Cell<u64>);
 
 impl ByteCount {
-    /// How many.
+    /// The number of bytes so far.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
@@ -22,21 +22,21 @@
     }
 }
 
-/// A stream whose bytes are counted.
+/// A stream that counts its bytes.
 #[derive(Debug)]
 pub struct Metered<S> {
-    /// The stream.
+    /// The underlying stream.
     pub inner: S,
     count: Rc<ByteCount>,
 }
 
 impl<S> Metered<S> {
-    /// Counts a stream's bytes.
+    /// Wraps a stream; its count begins at 0.
     pub fn new(inner: S) -> Metered<S> {
         Metered { inner, count: Rc::default() }
     }
 
-    /// What has passed on this stream.
+    /// The byte count of this stream.
     pub fn count(&self) -> Rc<ByteCount> {
         self.count.clone()
     }
--- a/crates/lab/src/scale/metrics.rs
+++ b/crates/lab/src/scale/metrics.rs
@@ -1,4 +1,4 @@
-//! What is counted while an experiment runs.
+//! Counts that are taken while an experiment runs.
 
 use serde::Serialize;
 use std::ops::{AddAssign, Sub};
@@ -26,42 +26,42 @@
 }
 
 counts! {
-    /// What came to discovery.
+    /// Connections, calls and bytes at discovery.
     DiscoveryCounts {
-        /// Connections.
+        /// Accepted connections.
         connects,
         /// Calls for the whole list.
         lists,
         /// Calls that open a watch.
         watches,
-        /// Calls that failed, as they would have waited too long.
+        /// Calls that failed because their wait would have exceeded the time-out.
         failed,
         /// Changes and heartbeats written to watches.
         updates,
-        /// Bytes, both ways.
+        /// Bytes in both directions.
         bytes,
     }
 }
 
 impl DiscoveryCounts {
-    /// Calls of any kind.
+    /// Calls of all kinds.
     pub fn calls(&self) -> u64 {
         self.lists + self.watches + self.failed
     }
 }
 
 counts! {
-    /// What came to config servers.
+    /// Connections, attempts and probes at config servers.
     ServerCounts {
-        /// Connections.
+        /// Accepted connections.
         connects,
         /// Attempts of requests.
         attempts,
         /// Probes.
         probes,
-        /// Bytes of attempts, both ways.
+        /// Bytes of attempts in both directions.
         attempt_bytes,
-        /// Bytes of probes, both ways.
+        /// Bytes of probes in both directions.
         probe_bytes,
     }
 }
@@ -72,7 +72,7 @@
         self.attempts + self.probes
     }
 
-    /// Bytes of both.
+    /// Bytes of attempts and probes.
     pub fn bytes(&self) -> u64 {
         self.attempt_bytes + self.probe_bytes
     }
@@ -81,51 +81,51 @@
 counts! {
     /// How calls of the applications ended.
     CallCounts {
-        /// Sent.
+        /// Calls that were sent.
         sent,
         /// Answered with 200.
         served,
-        /// Turned away by the sidecar: 429 or 503.
+        /// Rejected by the sidecar with 429 or 503.
         rejected,
-        /// Answered with another status.
+        /// Answered with another status, or not answered although the sidecar was running.
         failed,
-        /// Without a connection to the sidecar, or ended with it when it restarted.
+        /// No connection to the sidecar, or the call ended when the sidecar restarted.
         no_sidecar,
-        /// Not sent, as the application was down with its sidecar.
+        /// Not sent, because the application was down together with its sidecar.
         not_sent,
     }
 }
 
-/// One second.
+/// Counts of one second.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Second {
-    /// Its number, from the start of the measurement.
+    /// Number of the second, from the start of the measurement.
     pub second: usize,
-    /// At discovery.
+    /// Counts at discovery.
     pub discovery: DiscoveryCounts,
-    /// Watches open at its end.
+    /// Open watches at the end of the second.
     pub watching: usize,
-    /// At all config servers.
+    /// Counts at all config servers together.
     pub servers: ServerCounts,
-    /// Most calls, connections and bytes of one config server.
+    /// Highest counts of a single config server.
     pub busiest_server: Busiest,
-    /// Of the applications.
+    /// Counts of the applications' calls.
     pub calls: CallCounts,
 }
 
-/// The most that one config server had in a second, each figure for itself.
+/// Highest counts of a single config server in a second; each may come from a different server.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Busiest {
     /// Attempts and probes.
     pub calls: u64,
-    /// Connections.
+    /// Accepted connections.
     pub connects: u64,
     /// Bytes.
     pub bytes: u64,
 }
 
 impl Busiest {
-    /// Takes in what one server had.
+    /// Raises the highest counts to those of a server.
     pub fn include(&mut self, counts: &ServerCounts) {
         self.calls = self.calls.max(counts.calls());
         self.connects = self.connects.max(counts.connects);
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -1,9 +1,11 @@
-//! The scale run: a fleet of real and hollow sidecars round a hollow discovery and hollow config servers.
+//! Scale experiments: a fleet of real and hollow sidecars with a simplified discovery and simplified config servers.
 //!
-//! A hollow sidecar is the program from the listener down, with many of them in one process, so that the same
-//! code decides what it sends and when. What that leaves out: a process, its start and its descriptors of its
-//! own; signals; and a core of its own, so that CPU and delays of a crowded worker are not those of a sidecar.
-//! A hollow config server answers after a time and has no queue; hollow discovery builds each text once.
+//! A hollow sidecar is the program from the listener down, with many of them in one process, so the same code
+//! decides what it sends and when. It differs from a real one in three ways: it has no process of its own with
+//! its own start and descriptors; it receives no signals; and it shares a core with others, so the CPU time and
+//! delays of a crowded worker process are not those of a real sidecar.
+//! The simplified config servers answer after a delay and have no queue; the simplified discovery builds each
+//! text once for all sidecars of a region.
 
 mod audit;
 mod changes;
@@ -11,7 +13,6 @@
 mod config_server;
 mod convergence;
 mod discovery;
-mod drive;
 mod experiment;
 mod faults;
 mod figures;
@@ -20,6 +21,7 @@
 mod metered;
 mod metrics;
 mod report;
+mod runner;
 mod sidecar_config;
 mod sidecars;
 mod simulation;
@@ -28,7 +30,7 @@
 
 pub use audit::{Audit, Rule};
 pub use convergence::{Convergence, Spread};
-pub use drive::{run, run_virtual, How};
 pub use experiment::{Experiment, Point};
 pub use figures::Figures;
 pub use fit::{fit, Fit};
+pub use runner::{run_experiment, run_virtual, ScaleOptions};
--- a/crates/lab/src/scale/report.rs
+++ b/crates/lab/src/scale/report.rs
@@ -1,20 +1,20 @@
-//! Results as JSON and as a table, with how each figure grows with what was swept.
+//! Results as JSON and as a table, with fits of each figure against the swept variables.
 
-use super::drive::How;
 use super::experiment::{Experiment, Point};
 use super::figures::{Figures, Window};
 use super::fit::{fit, Fit};
+use super::runner::ScaleOptions;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 
-/// How far real and hollow sidecars may differ.
-const MAY_DIFFER: f64 = 0.1;
+/// Largest relative difference between real and hollow sidecars that passes the calibration.
+const MAX_RELATIVE_DIFFERENCE: f64 = 0.1;
 
-/// Results, each with its point.
+/// Points with their figures.
 type Results = [(Point, Figures)];
 
-/// Numbers of a JSON value by their paths.
+/// Collects the numbers of a JSON value by their paths.
 fn flatten(value: &Value, path: &str, into: &mut BTreeMap<String, f64>) {
     match value {
         Value::Object(fields) => {
@@ -32,7 +32,7 @@
     }
 }
 
-/// All single figures of a run by their paths.
+/// All figures of a run by their paths, without the series of seconds.
 fn numbers(figures: &Figures) -> BTreeMap<String, f64> {
     let mut value = serde_json::to_value(figures).unwrap_or(Value::Null);
     if let Some(fields) = value.as_object_mut() {
@@ -44,7 +44,7 @@
     numbers
 }
 
-/// How each figure grows with each swept variable: by variable, then by the figure's path.
+/// Fits of each figure against each swept variable: by variable, then by the figure's path.
 fn fits(results: &Results) -> BTreeMap<String, BTreeMap<String, Fit>> {
     let keys: BTreeSet<&String> =
         results.iter().filter_map(|(p, _)| p.swept.as_ref()).map(|(key, _)| key).collect();
@@ -63,7 +63,7 @@
     fits
 }
 
-/// The results as JSON.
+/// Formats the results as JSON.
 pub fn json(base: &Experiment, results: &Results) -> Result<String, String> {
     let points: Vec<Value> = results
         .iter()
@@ -77,10 +77,11 @@
     serde_json::to_string_pretty(&value).map(|t| t + "\n").map_err(|e| e.to_string())
 }
 
-/// Columns of the table: a name, and a figure of a window.
+/// A column of a table: heading, and the figure of a window.
 type Column = (&'static str, fn(&Window) -> f64);
 
-const COLUMNS: [Column; 15] = [
+/// Columns of the main table.
+const MAIN_COLUMNS: [Column; 15] = [
     ("discovery calls/s, peak", |w| w.peak.discovery_calls),
     ("of them failed", |w| w.peak.discovery_failed),
     ("connects/s, peak", |w| w.peak.discovery_connects),
@@ -98,6 +99,7 @@
     ("control B/s a sidecar", |w| w.per_sidecar.control_bytes_per_s),
 ];
 
+/// Columns of the table of traffic and resources per sidecar.
 const COST_COLUMNS: [Column; 8] = [
     ("discovery calls/s", |w| w.per_sidecar.discovery_calls_per_s),
     ("discovery B/s", |w| w.per_sidecar.discovery_bytes_per_s),
@@ -113,7 +115,8 @@
     point.swept.as_ref().map_or("as it stands".into(), |(key, value)| format!("{key} = {value}"))
 }
 
-fn rows(text: &mut String, results: &Results, columns: &[Column], digits: usize) {
+/// Writes a table with a row for each window of each point.
+fn write_table(text: &mut String, results: &Results, columns: &[Column], digits: usize) {
     let names: Vec<&str> = columns.iter().map(|c| c.0).collect();
     let _ =
         writeln!(text, "| point | window | {} |\n|---|---|{}", names.join(" | "), "---|".repeat(names.len()));
@@ -129,23 +132,23 @@
     }
 }
 
-/// The results as a table.
-pub fn table(base: &Experiment, results: &Results, how: &How) -> String {
+/// Formats the results as Markdown tables.
+pub fn table(base: &Experiment, results: &Results, options: &ScaleOptions) -> String {
     let fleet = &base.fleet;
-    let kind = if how.virtual_time { "in virtual time" } else { "on sockets" };
+    let kind = if options.virtual_time { "in virtual time" } else { "on sockets" };
     let mut text = format!(
         "# {}\n\n{} servers, {} sidecars ({} real), {} calls/s, {} changes a day, discovery bears {} calls/s; {kind}\n\n",
         base.name,
         fleet.servers,
         fleet.sidecars,
-        if how.virtual_time { 0 } else { fleet.real },
+        if options.virtual_time { 0 } else { fleet.real },
         base.calls.per_s,
         base.changes.per_day,
         base.discovery.calls_per_s
     );
-    rows(&mut text, results, &COLUMNS, 2);
+    write_table(&mut text, results, &MAIN_COLUMNS, 2);
     text.push_str("\nEach sidecar, as a mean:\n\n");
-    rows(&mut text, results, &COST_COLUMNS, 3);
+    write_table(&mut text, results, &COST_COLUMNS, 3);
     text.push_str("\n| point | calls sent | served | rejected | failed | no sidecar | not sent | rules broken |\n|---|---|---|---|---|---|---|---|\n");
     for (point, figures) in results {
         let mut calls = figures.quiet.calls;
@@ -163,7 +166,7 @@
             figures.violation_counts
         );
     }
-    if how.calibrate {
+    if options.calibrate {
         text.push_str(&differences(results));
     } else {
         text.push_str(&slopes(results));
@@ -171,7 +174,7 @@
     text
 }
 
-/// How the main figures grow with what was swept.
+/// Formats the fits of the main figures against the swept variables.
 fn slopes(results: &Results) -> String {
     let mut text = String::new();
     for (key, fits) in fits(results) {
@@ -179,15 +182,15 @@
             text,
             "\nBy {key}:\n\n| figure | slope | at 0 | R² | largest residual | exponent |\n|---|---|---|---|---|---|"
         );
-        let shown = |path: &str| {
+        let is_shown = |path: &str| {
             (path.starts_with("quiet.per_sidecar")
                 || path.contains(".peak.")
                 || path.contains(".told.")
                 || path.contains(".in_force."))
                 && !path.ends_with(".changes")
         };
-        for (path, fit) in fits.iter().filter(|(path, fit)| shown(path) && (fit.slope != 0.0)) {
-            let residual = fit.residuals.iter().fold(0.0_f64, |most, r| most.max(r.abs()));
+        for (path, fit) in fits.iter().filter(|(path, fit)| is_shown(path) && (fit.slope != 0.0)) {
+            let residual = fit.residuals.iter().fold(0.0_f64, |largest, r| largest.max(r.abs()));
             let exponent = fit.exponent.map_or("-".into(), |e| format!("{e:.2}"));
             let _ = writeln!(
                 text,
@@ -199,11 +202,11 @@
     text
 }
 
-/// By how much real and hollow sidecars differ.
+/// Formats the differences between real and hollow sidecars.
 fn differences(results: &Results) -> String {
     let [(_, real), (_, hollow)] = results else { return String::new() };
     let (real, hollow) = (numbers(real), numbers(hollow));
-    let compared = |path: &str| {
+    let is_compared = |path: &str| {
         let tail = path.rsplit('.').next().unwrap_or_default();
         let window = path.starts_with("quiet.") || path.starts_with("fault.");
         let counted = path.contains(".discovery.")
@@ -214,12 +217,13 @@
     };
     let mut text =
         String::from("\n| figure | real | hollow | differs by | within 10% |\n|---|---|---|---|---|\n");
-    for (path, a) in real.iter().filter(|(path, _)| compared(path)) {
+    for (path, a) in real.iter().filter(|(path, _)| is_compared(path)) {
         let b = hollow.get(path).copied().unwrap_or(0.0);
-        let most = a.abs().max(b.abs());
-        let by = if most > 0.0 { (b - a) / most } else { 0.0 };
-        let verdict = if by.abs() <= MAY_DIFFER { "yes" } else { "NO" };
-        let _ = writeln!(text, "| {path} | {a:.2} | {b:.2} | {:+.1}% | {verdict} |", by * 100.0);
+        let larger = a.abs().max(b.abs());
+        let relative_difference = if larger > 0.0 { (b - a) / larger } else { 0.0 };
+        let verdict = if relative_difference.abs() <= MAX_RELATIVE_DIFFERENCE { "yes" } else { "NO" };
+        let _ =
+            writeln!(text, "| {path} | {a:.2} | {b:.2} | {:+.1}% | {verdict} |", relative_difference * 100.0);
     }
     text
 }
--- a/crates/lab/src/scale/sidecar_config.rs
+++ b/crates/lab/src/scale/sidecar_config.rs
@@ -3,23 +3,23 @@
 use super::audit::MAX_ATTEMPTS;
 use super::experiment::Experiment;
 use super::topology::Topology;
-use roseproxy_emulator::day::Day;
 use roseproxy_emulator::memory::Memory;
-use roseproxy_emulator::plan::{hashed, Plan};
-use roseproxy_emulator::world::{Addresses, Sidecars, Signal, World};
+use roseproxy_emulator::scenario::Scenario;
+use roseproxy_emulator::schedule::{hashed, Schedule};
+use roseproxy_emulator::simulation::{Addresses, Sidecars, Signal, Simulation};
 use serde_json::{json, Value};
 use std::rc::Rc;
 
-/// Calls a second that a tenant may make: more than any experiment has.
+/// Quota of the tenant: more calls than any experiment sends.
 const QUOTA_PER_S: f64 = 1e6;
 
-/// Writes configurations as the emulator does for a day, with this experiment's addresses and list.
+/// Creates configurations from a template of the emulator, with the addresses and the list of this experiment.
 pub struct SidecarConfigs {
     template: Value,
     seed: u64,
 }
 
-/// Runs nothing: the emulator is only asked for its configuration.
+/// Starts no sidecars: the emulator's simulation is created only to get its configuration.
 struct NoSidecars;
 
 impl Sidecars for NoSidecars {
@@ -36,7 +36,7 @@
 }
 
 impl SidecarConfigs {
-    /// Those of an experiment.
+    /// Creates the template for an experiment.
     pub fn new(experiment: &Experiment) -> Result<SidecarConfigs, String> {
         let sockets = experiment.fleet.sockets;
         let text = format!(
@@ -45,10 +45,11 @@
              [server]\nreport_in_answers = {}\n",
             experiment.fleet.report_in_answers
         );
-        let day = Day::read("template", &text).map_err(|e| e.to_string())?;
-        let plan = Plan::draw(&day, experiment.seed);
-        let world = World::new(Memory::default(), plan, Addresses { port: 1 }, 0.0, Rc::new(NoSidecars));
-        let mut template = world.config(0, 0);
+        let scenario = Scenario::read("template", &text).map_err(|e| e.to_string())?;
+        let schedule = Schedule::draw(&scenario, experiment.seed);
+        let simulation =
+            Simulation::new(Memory::default(), schedule, Addresses { port: 1 }, 0.0, Rc::new(NoSidecars));
+        let mut template = simulation.config(0, 0);
         let settings = &mut template["settings"];
         settings["fleet_size"] = json!(experiment.fleet.sidecars);
         for customer in settings["customers"].as_array_mut().into_iter().flatten() {
@@ -57,7 +58,7 @@
         Ok(SidecarConfigs { template, seed: experiment.seed })
     }
 
-    /// The configuration of a sidecar for its start of this number.
+    /// The configuration of a sidecar; `start` is the number of its start and gives each start its own seed.
     pub fn config(&self, topology: &Topology, sidecar: usize, start: u64, known: Option<Value>) -> Value {
         let mut config = self.template.clone();
         let seed = (hashed(self.seed, &[2, sidecar as u64, start]) * (1_u64 << 53) as f64) as u64;
--- a/crates/lab/src/scale/sidecars.rs
+++ b/crates/lab/src/scale/sidecars.rs
@@ -1,12 +1,12 @@
-//! Who runs the sidecars: processes of the program, hollow ones in worker processes, or tasks in virtual time.
+//! Hosts of the sidecars: processes of the program, worker processes with hollow sidecars, or tasks in virtual time.
 
 use super::experiment::Fleet;
 use super::worker::Worker;
 use crate::in_process::{InProcess, MemoryNetwork};
-use crate::processes::{cpu, memory, Processes};
+use crate::processes::{process_cpu_s, process_memory_mb, Processes};
 use roseproxy::Clock;
 use roseproxy_emulator::memory::Memory;
-use roseproxy_emulator::world::{Sidecars, Signal};
+use roseproxy_emulator::simulation::{Sidecars, Signal};
 use serde::Serialize;
 use serde_json::Value;
 use std::cell::Cell;
@@ -14,38 +14,38 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Share of the machine's memory that a run may take.
-const MEMORY_SHARE: f64 = 0.5;
+/// Largest share of the machine's memory that a run may use.
+const MAX_MEMORY_SHARE: f64 = 0.5;
 
-/// What one kind of sidecar takes.
+/// Resources that all sidecars of one kind use.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct GroupUsage {
-    /// How many there are.
+    /// Number of sidecars.
     pub sidecars: usize,
-    /// Their CPU time so far (s).
+    /// CPU time so far (s).
     pub cpu_s: f64,
-    /// Their memory (MB).
+    /// Resident memory (MB).
     pub memory_mb: f64,
 }
 
-/// What the sidecars take.
+/// Resources that the sidecars use, by kind.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Usage {
-    /// The processes.
+    /// Sidecars that are processes of the program.
     pub real: GroupUsage,
-    /// The hollow ones, with their share of the worker processes.
+    /// Hollow sidecars, including the worker processes.
     pub hollow: GroupUsage,
 }
 
-/// Who runs the sidecars of a scale experiment.
+/// Runs the sidecars of a scale experiment.
 pub trait SidecarHost: Sidecars {
-    /// What they take, where that can be told.
+    /// Resources that the sidecars use; zero if they cannot be measured.
     fn usage(&self) -> Usage;
-    /// Why the run has to end, where it has to.
+    /// An error if the run has to end: a worker has exited or the memory limit is exceeded.
     fn check(&self) -> Result<(), String>;
 }
 
-/// Sidecars on sockets: the first are processes of the program, the others hollow.
+/// Sidecars on sockets: the first `real` ones are processes of the program, the others hollow.
 pub struct SocketSidecars {
     processes: Processes,
     real: usize,
@@ -55,7 +55,7 @@
 }
 
 impl SocketSidecars {
-    /// Starts the workers of a fleet; `program` is what the processes run, `port` tells concurrent runs apart.
+    /// Starts the worker processes of a fleet. Real sidecars run `program`; `port` keeps concurrent runs apart.
     pub fn new(fleet: &Fleet, program: &Path, port: u16) -> Result<SocketSidecars, String> {
         let hollow = fleet.sidecars - fleet.real;
         let workers = (0..fleet.workers.min(hollow)).map(|_| Worker::start());
@@ -64,7 +64,7 @@
             real: fleet.real,
             sidecars: fleet.sidecars,
             workers: workers.collect::<Result<_, _>>()?,
-            memory_limit_mb: machine_memory_mb()? * MEMORY_SHARE,
+            memory_limit_mb: machine_memory_mb()? * MAX_MEMORY_SHARE,
         })
     }
 
@@ -73,7 +73,7 @@
     }
 }
 
-/// Memory of the machine (MB).
+/// Total memory of the machine.
 fn machine_memory_mb() -> Result<f64, String> {
     let text = std::fs::read_to_string("/proc/meminfo").map_err(|e| format!("/proc/meminfo: {e}"))?;
     let line = text.lines().find_map(|l| l.strip_prefix("MemTotal:"));
@@ -125,51 +125,51 @@
         }
         usage.hollow.sidecars = self.sidecars - self.real;
         for worker in &self.workers {
-            usage.hollow.cpu_s += cpu(&worker.pid()).unwrap_or(0.0);
-            usage.hollow.memory_mb += memory(&worker.pid(), "VmRSS").unwrap_or(0.0);
+            usage.hollow.cpu_s += process_cpu_s(&worker.pid()).unwrap_or(0.0);
+            usage.hollow.memory_mb += process_memory_mb(&worker.pid(), "VmRSS").unwrap_or(0.0);
         }
         usage
     }
 
     fn check(&self) -> Result<(), String> {
         if self.workers.iter().any(Worker::has_ended) {
-            return Err("a process of hollow sidecars ended".into());
+            return Err("a worker process of hollow sidecars exited".into());
         }
         let usage = self.usage();
-        let own = memory("self", "VmRSS").unwrap_or(0.0);
-        within_memory(usage.real.memory_mb + usage.hollow.memory_mb + own, self.memory_limit_mb)
+        let own = process_memory_mb("self", "VmRSS").unwrap_or(0.0);
+        check_memory(usage.real.memory_mb + usage.hollow.memory_mb + own, self.memory_limit_mb)
     }
 }
 
-fn within_memory(taken_mb: f64, limit_mb: f64) -> Result<(), String> {
-    if taken_mb > limit_mb {
-        return Err(format!("{taken_mb:.0} MB taken, more than half of the machine's memory"));
+fn check_memory(used_mb: f64, limit_mb: f64) -> Result<(), String> {
+    if used_mb > limit_mb {
+        return Err(format!("{used_mb:.0} MB used, more than half of the machine's memory"));
     }
     Ok(())
 }
 
-/// Sidecars as tasks over pipes in memory, in virtual time.
+/// Sidecars as tasks over in-memory streams, in virtual time.
 pub struct MemorySidecars {
     memory: Memory,
     in_process: InProcess,
     origin: Instant,
-    epoch: f64,
+    epoch_ms: f64,
     memory_limit_mb: f64,
 }
 
 impl MemorySidecars {
-    /// None started yet; `epoch` is the Unix time (ms) now.
-    pub fn new(memory: Memory, epoch: f64) -> Result<MemorySidecars, String> {
-        let memory_limit_mb = machine_memory_mb()? * MEMORY_SHARE;
+    /// A host without sidecars; `epoch_ms` is the current Unix time.
+    pub fn new(memory: Memory, epoch_ms: f64) -> Result<MemorySidecars, String> {
+        let memory_limit_mb = machine_memory_mb()? * MAX_MEMORY_SHARE;
         let (in_process, origin) = (InProcess::default(), Instant::now());
-        Ok(MemorySidecars { memory, in_process, origin, epoch, memory_limit_mb })
+        Ok(MemorySidecars { memory, in_process, origin, epoch_ms, memory_limit_mb })
     }
 }
 
 impl Sidecars for MemorySidecars {
     fn start(&self, number: usize, config: &Value) -> Result<(), String> {
-        let clock = Clock::from(self.epoch + self.origin.elapsed().as_secs_f64() * 1e3);
-        let network = MemoryNetwork { memory: self.memory.clone(), held: Rc::new(Cell::new(0)) };
+        let clock = Clock::from(self.epoch_ms + self.origin.elapsed().as_secs_f64() * 1e3);
+        let network = MemoryNetwork { memory: self.memory.clone(), open_streams: Rc::new(Cell::new(0)) };
         self.in_process.start(number, config, network, clock, None)
     }
 
@@ -192,6 +192,6 @@
     }
 
     fn check(&self) -> Result<(), String> {
-        within_memory(memory("self", "VmRSS").unwrap_or(0.0), self.memory_limit_mb)
+        check_memory(process_memory_mb("self", "VmRSS").unwrap_or(0.0), self.memory_limit_mb)
     }
 }
--- a/crates/lab/src/scale/simulation.rs
+++ b/crates/lab/src/scale/simulation.rs
@@ -1,4 +1,4 @@
-//! One run: discovery, config servers and applications round a fleet of sidecars.
+//! One run of a scale experiment: discovery, config servers and applications with a fleet of sidecars.
 
 use super::audit::Audit;
 use super::changes;
@@ -15,91 +15,95 @@
 use super::topology::Topology;
 use roseproxy_emulator::fabric::Fabric;
 use roseproxy_emulator::http::{Answer, Wire};
-use roseproxy_emulator::world::Signal;
+use roseproxy_emulator::simulation::Signal;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// How long a sidecar may take to become ready (ms), and how often it is asked whether it is.
-const READY_WITHIN: f64 = 120_000.0;
-const ASK_READY: f64 = 100.0;
-/// How long a sidecar that was told to end may take (ms).
-const END_WITHIN: f64 = 6_000.0;
-/// How long applications still send after that (ms).
-const STILL_SENDS: f64 = 300.0;
-/// How long all sidecars may take to open their watches (ms).
-const WATCHED_WITHIN: f64 = 90_000.0;
-/// What is written off behind that, as the first connections and probes are made (ms).
-const SETTLE: f64 = 3_000.0;
+/// Most time from the start of a sidecar until it is ready.
+const READY_TIMEOUT_MS: f64 = 120_000.0;
+/// How often a starting sidecar is asked whether it is ready.
+const READY_POLL_INTERVAL_MS: f64 = 100.0;
+/// Most time that a sidecar has to end after SIGTERM before it is killed.
+const SHUTDOWN_TIMEOUT_MS: f64 = 6_000.0;
+/// How often it is checked whether a sidecar has ended.
+const SHUTDOWN_POLL_INTERVAL_MS: f64 = 20.0;
+/// How long an application still sends calls after its sidecar was sent SIGTERM.
+const SEND_AFTER_TERM_MS: f64 = 300.0;
+/// Most time until all sidecars have opened their watches.
+const WATCH_TIMEOUT_MS: f64 = 90_000.0;
+/// Time after that which is not measured, because the first connections and probes are made in it.
+const SETTLE_MS: f64 = 3_000.0;
 
-/// How often a sidecar that was told of a change is asked whether it has it in force (ms), and for how long.
-const ASK_IN_FORCE: f64 = 50.0;
-const IN_FORCE_WITHIN: f64 = 60_000.0;
-/// The counter that names the version of the list in hand.
+/// How often a sidecar that was told of a change is asked whether the change is in force.
+const IN_FORCE_POLL_INTERVAL_MS: f64 = 50.0;
+/// How long it is asked.
+const IN_FORCE_TIMEOUT_MS: f64 = 60_000.0;
+/// Name of the counter that holds the revision of the sidecar's current list.
 const REVISION_COUNTER: &str = "discovery_revision ";
 
 /// A sidecar as its application sees it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SidecarState {
-    /// Whether the application sends.
+    /// Whether the sidecar is ready and the application sends calls.
     pub ready: bool,
-    /// How often it was started.
+    /// Number of starts.
     pub starts: u64,
-    /// The version that it was told last.
-    told: u64,
-    /// Whether it is being asked for the version that it has in force.
-    asked: bool,
+    /// The latest revision that the sidecar was told.
+    told_revision: u64,
+    /// Whether a task is polling the sidecar for the revision that it has in force.
+    polled: bool,
 }
 
-/// What a run has measured.
+/// Measurements of a run.
 #[derive(Default)]
 pub struct Measured {
-    /// Each second of the run.
+    /// Counts of each second.
     pub seconds: Vec<Second>,
     /// CPU time and memory of the sidecars, at the start of each second.
     pub usage: Vec<Usage>,
 }
 
-/// One run.
+/// One run of a scale experiment.
 pub struct Simulation<F: Fabric> {
-    /// What streams are made of.
+    /// The network: in-memory streams or loopback sockets.
     pub fabric: F,
-    /// What is run.
+    /// The experiment that is run.
     pub experiment: Experiment,
-    /// Who is where.
+    /// Regions, zones and addresses.
     pub topology: Topology,
-    /// Discovery.
+    /// The simulated discovery service.
     pub discovery: Discovery,
-    /// The config servers.
+    /// The simulated config servers.
     pub servers: Vec<ConfigServer>,
     /// The applications.
     pub clients: Clients<F>,
-    /// The rules.
+    /// The checks of the rules.
     pub audit: RefCell<Audit>,
     /// When sidecars were told of changes.
     pub told: RefCell<Convergence>,
-    /// When they had them in force, by their own word.
+    /// When sidecars had changes in force, by their own counter.
     pub in_force: RefCell<Convergence>,
-    /// What was measured.
+    /// Measurements so far.
     pub measured: RefCell<Measured>,
     sidecars: Rc<dyn SidecarHost>,
     configs: SidecarConfigs,
     states: RefCell<Vec<SidecarState>>,
     origin: Instant,
-    epoch: f64,
-    /// When the measurement began (ms).
-    start: Cell<f64>,
+    epoch_ms: f64,
+    /// Start of the measurement.
+    start_ms: Cell<f64>,
 }
 
 impl<F: Fabric> Simulation<F> {
-    /// A run at its beginning; `epoch` is the Unix time (ms) then.
+    /// A run that has not begun; `epoch_ms` is the current Unix time.
     pub fn new(
         fabric: F,
         experiment: Experiment,
         topology: Topology,
-        epoch: f64,
+        epoch_ms: f64,
         sidecars: Rc<dyn SidecarHost>,
     ) -> Result<Rc<Simulation<F>>, String> {
         let (count, regions) = (experiment.fleet.sidecars, experiment.fleet.regions);
@@ -116,96 +120,96 @@
             configs: SidecarConfigs::new(&experiment)?,
             states: RefCell::new(vec![SidecarState::default(); count]),
             origin: Instant::now(),
-            epoch,
-            start: Cell::new(0.0),
+            epoch_ms,
+            start_ms: Cell::new(0.0),
             topology,
             experiment,
         }))
     }
 
-    /// The time: ms since the run began.
+    /// Time since the simulation was created (ms).
     pub fn now(&self) -> f64 {
         self.origin.elapsed().as_secs_f64() * 1e3
     }
 
-    /// The Unix time (ms).
+    /// Unix time (ms).
     pub fn unix_now(&self) -> f64 {
-        self.epoch + self.now()
+        self.epoch_ms + self.now()
     }
 
-    /// Waits until a time.
-    pub async fn until(&self, at: f64) {
-        // A hair later, so that the time has come when it is waited for.
-        let at = self.origin + Duration::from_secs_f64(at.clamp(0.0, 1e10) / 1e3 + 1e-8);
-        tokio::time::sleep_until(at).await;
+    /// Waits until a time of the run (ms).
+    pub async fn sleep_until(&self, at_ms: f64) {
+        // Wakes 10 ns late, so that rounding cannot make the wait end before the time.
+        let deadline = self.origin + Duration::from_secs_f64(at_ms.clamp(0.0, 1e10) / 1e3 + 1e-8);
+        tokio::time::sleep_until(deadline).await;
     }
 
-    /// Waits for so long (ms).
+    /// Waits for a duration (ms).
     pub async fn sleep(&self, millis: f64) {
-        self.until(self.now() + millis).await;
+        self.sleep_until(self.now() + millis).await;
     }
 
-    /// A time of the experiment (s) as the run's (ms).
-    pub fn at(&self, seconds: f64) -> f64 {
-        self.start.get() + seconds * 1e3
+    /// Converts a time of the experiment (s from the start of the measurement) to a time of the run (ms).
+    pub fn run_time_ms(&self, seconds: f64) -> f64 {
+        self.start_ms.get() + seconds * 1e3
     }
 
-    /// A sidecar's state.
+    /// The state of a sidecar.
     pub fn state(&self, sidecar: usize) -> SidecarState {
         self.states.borrow()[sidecar]
     }
 
-    /// A version was published.
-    pub fn published(&self, revision: u64) {
-        self.told.borrow_mut().published(self.now(), revision);
-        self.in_force.borrow_mut().published(self.now(), revision);
+    /// Records that a revision was published.
+    pub fn record_published(&self, revision: u64) {
+        self.told.borrow_mut().record_published(self.now(), revision);
+        self.in_force.borrow_mut().record_published(self.now(), revision);
     }
 
-    /// A sidecar was told of a version; it is asked from now on whether it has it in force.
-    pub fn told_revision(self: &Rc<Self>, sidecar: usize, revision: u64) {
-        self.told.borrow_mut().told(self.now(), sidecar, revision);
+    /// Records that a sidecar was told of a revision, and polls the sidecar until the revision is in force.
+    pub fn record_told_revision(self: &Rc<Self>, sidecar: usize, revision: u64) {
+        self.told.borrow_mut().record_told(self.now(), sidecar, revision);
         let state = &mut self.states.borrow_mut()[sidecar];
-        state.told = revision;
-        if !state.asked {
-            state.asked = true;
+        state.told_revision = revision;
+        if !state.polled {
+            state.polled = true;
             let simulation = self.clone();
             spawn_local(async move {
-                simulation.ask_in_force(sidecar).await;
-                simulation.states.borrow_mut()[sidecar].asked = false;
+                simulation.poll_until_in_force(sidecar).await;
+                simulation.states.borrow_mut()[sidecar].polled = false;
             });
         }
     }
 
-    /// Asks a sidecar until it has in force what it was told last.
-    async fn ask_in_force(&self, sidecar: usize) {
-        let until = self.now() + IN_FORCE_WITHIN;
-        while self.now() < until {
-            let answer = self.call(sidecar, "/health/counters").await;
+    /// Polls a sidecar until the latest revision that it was told is in force, or the time-out has passed.
+    async fn poll_until_in_force(&self, sidecar: usize) {
+        let deadline = self.now() + IN_FORCE_TIMEOUT_MS;
+        while self.now() < deadline {
+            let answer = self.query_sidecar(sidecar, "/health/counters").await;
             let counters = answer.map(|a| String::from_utf8_lossy(&a.body).into_owned()).unwrap_or_default();
             let revision = counters.lines().find_map(|line| line.strip_prefix(REVISION_COUNTER));
             if let Some(revision) = revision.and_then(|text| text.trim().parse().ok()) {
-                self.in_force.borrow_mut().told(self.now(), sidecar, revision);
-                if revision >= self.state(sidecar).told {
+                self.in_force.borrow_mut().record_told(self.now(), sidecar, revision);
+                if revision >= self.state(sidecar).told_revision {
                     return;
                 }
             }
-            self.sleep(ASK_IN_FORCE).await;
+            self.sleep(IN_FORCE_POLL_INTERVAL_MS).await;
         }
     }
 
-    /// A call of the laboratory's own to a sidecar.
-    async fn call(&self, sidecar: usize, path: &str) -> Option<Answer> {
-        let ask = async {
+    /// Sends a request to a sidecar's own endpoints; `None` if it is not answered within a second.
+    async fn query_sidecar(&self, sidecar: usize, path: &str) -> Option<Answer> {
+        let exchange = async {
             let stream = self.fabric.connect(self.topology.sidecar(sidecar)).await.ok()?;
             let mut wire = Wire::new(stream);
             let text = format!("GET {path} HTTP/1.1\r\nhost: origin.svc\r\nconnection: close\r\n\r\n");
             wire.write(text.as_bytes()).await.ok()?;
             wire.answer().await.ok()
         };
-        tokio::time::timeout(Duration::from_secs(1), ask).await.ok().flatten()
+        tokio::time::timeout(Duration::from_secs(1), exchange).await.ok().flatten()
     }
 
-    /// Starts a sidecar, and returns once it is ready.
+    /// Starts a sidecar and waits until it is ready.
     async fn start_sidecar(self: &Rc<Self>, sidecar: usize) -> Result<(), String> {
         let starts = self.state(sidecar).starts;
         let revision = self.discovery.revision();
@@ -215,34 +219,35 @@
         self.sidecars.start(sidecar, &config)?;
         self.states.borrow_mut()[sidecar].starts += 1;
         let began = self.now();
-        while self.now() - began < READY_WITHIN {
-            if self.call(sidecar, "/health/ready").await.is_some_and(|a| a.status == 200) {
+        while self.now() - began < READY_TIMEOUT_MS {
+            if self.query_sidecar(sidecar, "/health/ready").await.is_some_and(|a| a.status == 200) {
                 if has_list {
-                    self.told_revision(sidecar, revision);
+                    self.record_told_revision(sidecar, revision);
                 }
                 self.states.borrow_mut()[sidecar].ready = true;
                 return Ok(());
             }
-            self.sleep(ASK_READY).await;
+            self.sleep(READY_POLL_INTERVAL_MS).await;
         }
-        Err(format!("sidecar {sidecar} was not ready {READY_WITHIN} ms after its start"))
+        Err(format!("sidecar {sidecar} was not ready {READY_TIMEOUT_MS} ms after its start"))
     }
 
-    /// Tells a sidecar to end, waits until it has, and starts it again.
+    /// Sends SIGTERM to a sidecar, waits until it has ended, kills it after the time-out and starts it again.
     pub async fn restart_sidecar(self: &Rc<Self>, sidecar: usize) -> Result<(), String> {
         self.sidecars.signal(sidecar, Signal::Term);
-        self.sleep(STILL_SENDS).await;
+        self.sleep(SEND_AFTER_TERM_MS).await;
         self.states.borrow_mut()[sidecar].ready = false;
-        self.clients.forget(sidecar);
-        let until = self.now() + END_WITHIN;
-        while !self.sidecars.ended(sidecar) && self.now() < until {
-            self.sleep(20.0).await;
+        self.clients.close_connections(sidecar);
+        let deadline = self.now() + SHUTDOWN_TIMEOUT_MS;
+        while !self.sidecars.ended(sidecar) && self.now() < deadline {
+            self.sleep(SHUTDOWN_POLL_INTERVAL_MS).await;
         }
         self.sidecars.signal(sidecar, Signal::Kill);
         self.start_sidecar(sidecar).await
     }
 
-    fn open(self: &Rc<Self>) {
+    /// Spawns the listeners of all config servers and of discovery.
+    fn spawn_listeners(self: &Rc<Self>) {
         let fleet = &self.experiment.fleet;
         for server in 0..fleet.servers {
             for from_region in 0..fleet.regions {
@@ -260,7 +265,7 @@
         }
     }
 
-    /// Takes each second's counts.
+    /// Records the counts of each second until the future is dropped.
     async fn measure(self: Rc<Self>) {
         let mut discovery = self.discovery.counts.get();
         let mut servers: Vec<ServerCounts> = self.servers.iter().map(|s| s.counts.get()).collect();
@@ -268,33 +273,33 @@
         for second in 0.. {
             let usage = self.sidecars.usage();
             self.measured.borrow_mut().usage.push(usage);
-            self.until(self.at((second + 1) as f64)).await;
-            let mut one = Second { second, ..Second::default() };
+            self.sleep_until(self.run_time_ms((second + 1) as f64)).await;
+            let mut measured_second = Second { second, ..Second::default() };
             let now = self.discovery.counts.get();
-            one.discovery = now - std::mem::replace(&mut discovery, now);
-            one.watching = self.discovery.watching();
+            measured_second.discovery = now - std::mem::replace(&mut discovery, now);
+            measured_second.watching = self.discovery.open_watches();
             let now = self.clients.counts.get();
-            one.calls = now - std::mem::replace(&mut calls, now);
+            measured_second.calls = now - std::mem::replace(&mut calls, now);
             let mut busiest = Busiest::default();
             for (server, before) in self.servers.iter().zip(&mut servers) {
                 let now = server.counts.get();
                 let counts = now - std::mem::replace(before, now);
-                one.servers += counts;
+                measured_second.servers += counts;
                 busiest.include(&counts);
             }
-            one.busiest_server = busiest;
-            self.measured.borrow_mut().seconds.push(one);
+            measured_second.busiest_server = busiest;
+            self.measured.borrow_mut().seconds.push(measured_second);
         }
     }
 
-    /// The first fault.
-    pub fn fault(&self) -> Option<&Fault> {
+    /// The first fault of the experiment.
+    pub fn first_fault(&self) -> Option<&Fault> {
         self.experiment.faults.first()
     }
 
-    /// Runs the experiment; `tick` hears of each second that has passed.
-    pub async fn run(self: &Rc<Self>, tick: impl Fn(u64) + 'static) -> Result<(), String> {
-        self.open();
+    /// Runs the experiment; calls `on_second` after each second.
+    pub async fn run(self: &Rc<Self>, on_second: impl Fn(u64) + 'static) -> Result<(), String> {
+        self.spawn_listeners();
         tokio::task::yield_now().await;
         let starting: Vec<_> = (0..self.experiment.fleet.sidecars)
             .map(|sidecar| {
@@ -302,28 +307,33 @@
                 spawn_local(async move { simulation.start_sidecar(sidecar).await })
             })
             .collect();
-        for one in starting {
-            one.await.map_err(|e| e.to_string())??;
+        for start in starting {
+            start.await.map_err(|e| e.to_string())??;
         }
         let began = self.now();
-        while self.discovery.watching() < self.experiment.fleet.sidecars {
-            if self.now() - began > WATCHED_WITHIN {
-                return Err(format!("only {} sidecars watch discovery", self.discovery.watching()));
+        while self.discovery.open_watches() < self.experiment.fleet.sidecars {
+            if self.now() - began > WATCH_TIMEOUT_MS {
+                return Err(format!(
+                    "only {} sidecars watch discovery after {WATCH_TIMEOUT_MS} ms",
+                    self.discovery.open_watches()
+                ));
             }
-            self.sleep(ASK_READY).await;
+            self.sleep(READY_POLL_INTERVAL_MS).await;
         }
-        self.start.set(self.now() + SETTLE);
-        let mut tasks = vec![spawn_local(clients::send(self.clone()))];
-        self.until(self.at(0.0)).await;
+        self.start_ms.set(self.now() + SETTLE_MS);
+        let mut tasks = vec![spawn_local(clients::send_calls(self.clone()))];
+        self.sleep_until(self.run_time_ms(0.0)).await;
         tasks.push(spawn_local(self.clone().measure()));
-        tasks.push(spawn_local(changes::publish(self.clone())));
-        tasks.extend((0..self.experiment.faults.len()).map(|f| spawn_local(faults::inject(self.clone(), f))));
+        tasks.push(spawn_local(changes::publish_changes(self.clone())));
+        tasks.extend(
+            (0..self.experiment.faults.len()).map(|f| spawn_local(faults::inject_fault(self.clone(), f))),
+        );
         for second in 1..=self.experiment.length_s as u64 {
-            self.until(self.at(second as f64)).await;
+            self.sleep_until(self.run_time_ms(second as f64)).await;
             self.sidecars.check()?;
-            tick(second);
+            on_second(second);
         }
-        // The last second is taken first.
+        // Lets the measurement record the last second before the tasks are aborted.
         self.sleep(10.0).await;
         tasks.iter().for_each(|task| task.abort());
         Ok(())
--- a/crates/lab/src/scale/topology.rs
+++ b/crates/lab/src/scale/topology.rs
@@ -1,24 +1,26 @@
-//! Who is where: regions, zones and addresses.
+//! Regions, zones and addresses of a fleet.
 
 use super::experiment::Fleet;
 use std::net::SocketAddr;
 
-/// Second octets of the addresses of discovery, of sidecars, and of servers as the first region reaches them.
-const DISCOVERY: u8 = 32;
-const SIDECARS: u8 = 48;
-const SERVERS: u8 = 64;
+/// Second octet of the addresses of discovery.
+const DISCOVERY_OCTET: u8 = 32;
+/// Second octet of the addresses of sidecars.
+const SIDECAR_OCTET: u8 = 48;
+/// Second octet of the server addresses that the first region uses; each further region uses the next octet.
+const FIRST_SERVER_OCTET: u8 = 64;
 
-/// Who is where.
+/// Regions, zones and addresses of a fleet.
 #[derive(Clone, Debug)]
 pub struct Topology {
-    /// The port of all addresses.
+    /// Port of all addresses.
     pub port: u16,
     regions: usize,
     zones: usize,
 }
 
 impl Topology {
-    /// A fleet's places, all of them at this port.
+    /// The topology of a fleet, with one port for all addresses.
     pub fn new(fleet: &Fleet, port: u16) -> Topology {
         Topology { port, regions: fleet.regions, zones: fleet.zones }
     }
@@ -33,29 +35,29 @@
         self.zone(number) * self.regions / self.zones
     }
 
-    /// The name of a zone, as lists and configurations say it.
+    /// Name of a zone in server lists and configurations.
     pub fn zone_name(&self, zone: usize) -> String {
         format!("r{}-z{zone}", zone * self.regions / self.zones)
     }
 
-    fn address(&self, kind: u8, number: usize) -> SocketAddr {
-        // From 1 on: the first address of the network is not a host's.
+    fn address(&self, second_octet: u8, number: usize) -> SocketAddr {
+        // Host numbers begin at 1: the first address of a network is not a host address.
         let number = number + 1;
-        SocketAddr::from(([127, kind, (number >> 8) as u8, number as u8], self.port))
+        SocketAddr::from(([127, second_octet, (number >> 8) as u8, number as u8], self.port))
     }
 
-    /// A server, as sidecars of a region reach it: each region has a way of its own, so that one can be cut.
+    /// Address of a server for the sidecars of a region. Each region has its own, so that each path can be cut alone.
     pub fn server(&self, server: usize, from_region: usize) -> SocketAddr {
-        self.address(SERVERS + from_region as u8, server)
+        self.address(FIRST_SERVER_OCTET + from_region as u8, server)
     }
 
-    /// Discovery, as a sidecar reaches it: an address of its own tells who calls.
+    /// Address of discovery for a sidecar. Each sidecar has its own, so that discovery can tell who calls.
     pub fn discovery(&self, sidecar: usize) -> SocketAddr {
-        self.address(DISCOVERY, sidecar)
+        self.address(DISCOVERY_OCTET, sidecar)
     }
 
-    /// Where a sidecar listens.
+    /// Address at which a sidecar listens.
     pub fn sidecar(&self, sidecar: usize) -> SocketAddr {
-        self.address(SIDECARS, sidecar)
+        self.address(SIDECAR_OCTET, sidecar)
     }
 }
--- a/crates/lab/src/scale/worker.rs
+++ b/crates/lab/src/scale/worker.rs
@@ -1,11 +1,11 @@
-//! A process that runs many hollow sidecars: the very program from the listener down, on real sockets.
+//! Worker processes, each with many hollow sidecars: the program from the listener down, on real sockets.
 //!
-//! It is told what to do by lines of JSON on its input and says by lines on its output which sidecars have
-//! ended; it ends when its input does.
+//! A worker reads commands as lines of JSON from standard input and writes a line of JSON to standard output for
+//! each sidecar that has ended. It exits when its input is closed.
 
 use crate::in_process::InProcess;
 use roseproxy::Clock;
-use roseproxy_emulator::world::Signal;
+use roseproxy_emulator::simulation::Signal;
 use roseproxy_transport::network::Tcp;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -22,88 +22,90 @@
 
 /// The subcommand that runs a worker.
 pub const SUBCOMMAND: &str = "hollow";
-/// How often a worker looks which of its sidecars have ended.
-const LOOK: Duration = Duration::from_millis(20);
+/// How often a worker checks which of its sidecars have ended.
+const END_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a worker is told.
+/// A command to a worker.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-enum Order {
-    /// To start a sidecar.
+enum WorkerCommand {
+    /// Starts a sidecar.
     Start { number: usize, config: Value },
-    /// To end a sidecar in order.
+    /// Shuts a sidecar down gracefully.
     Term { number: usize },
-    /// To drop a sidecar at once.
+    /// Drops a sidecar at once.
     Kill { number: usize },
-    /// To replace a sidecar's configuration.
+    /// Replaces the configuration of a sidecar.
     Reload { number: usize, config: Value },
 }
 
-/// What a worker says.
+/// A worker's message that a sidecar has ended.
 #[derive(Debug, Deserialize, Serialize)]
 struct Ended {
-    /// The sidecar that has ended.
+    /// Number of the sidecar.
     ended: usize,
 }
 
-/// A worker process, as seen by who started it.
+/// A worker process, from the side of the process that started it.
 pub struct Worker {
     child: RefCell<Child>,
-    orders: Sender<Order>,
+    commands: Sender<WorkerCommand>,
     running: Arc<Mutex<HashSet<usize>>>,
 }
 
 impl Worker {
-    /// Starts one.
+    /// Starts a worker process.
     pub fn start() -> Result<Worker, String> {
-        let program = std::env::current_exe().map_err(|e| format!("the laboratory's own program: {e}"))?;
+        let program =
+            std::env::current_exe().map_err(|e| format!("cannot find this program's own executable: {e}"))?;
         let child =
             Command::new(program).arg(SUBCOMMAND).stdin(Stdio::piped()).stdout(Stdio::piped()).spawn();
-        let mut child = child.map_err(|e| format!("a process of hollow sidecars: {e}"))?;
+        let mut child =
+            child.map_err(|e| format!("cannot start a worker process of hollow sidecars: {e}"))?;
         let (input, output) = (child.stdin.take(), child.stdout.take());
         let (Some(mut input), Some(output)) = (input, output) else {
-            return Err("a process of hollow sidecars has no pipes".into());
+            return Err("a worker process of hollow sidecars has no pipes".into());
         };
-        let (orders, to_write) = channel::<Order>();
-        // Threads of their own: a worker that is busy must not hold up who talks to it.
+        let (commands, to_write) = channel::<WorkerCommand>();
+        // Reading and writing have threads of their own, so that a busy worker cannot block this process.
         std::thread::spawn(move || {
-            for order in to_write {
-                let Ok(text) = serde_json::to_string(&order) else { continue };
+            for command in to_write {
+                let Ok(text) = serde_json::to_string(&command) else { continue };
                 if writeln!(input, "{text}").and_then(|()| input.flush()).is_err() {
                     return;
                 }
             }
         });
         let running = Arc::<Mutex<HashSet<usize>>>::default();
-        let left = running.clone();
+        let reader_running = running.clone();
         std::thread::spawn(move || {
             for line in BufReader::new(output).lines().map_while(Result::ok) {
                 if let Ok(Ended { ended }) = serde_json::from_str(&line) {
-                    left.lock().unwrap_or_else(|e| e.into_inner()).remove(&ended);
+                    reader_running.lock().unwrap_or_else(|e| e.into_inner()).remove(&ended);
                 }
             }
         });
-        Ok(Worker { child: RefCell::new(child), orders, running })
+        Ok(Worker { child: RefCell::new(child), commands, running })
     }
 
-    fn tell(&self, order: Order) -> Result<(), String> {
-        self.orders.send(order).map_err(|_| "a process of hollow sidecars ended".into())
+    fn send(&self, command: WorkerCommand) -> Result<(), String> {
+        self.commands.send(command).map_err(|_| "a worker process of hollow sidecars exited".into())
     }
 
     /// Starts a sidecar.
     pub fn start_sidecar(&self, number: usize, config: &Value) -> Result<(), String> {
         self.running.lock().unwrap_or_else(|e| e.into_inner()).insert(number);
-        self.tell(Order::Start { number, config: config.clone() })
+        self.send(WorkerCommand::Start { number, config: config.clone() })
     }
 
-    /// Tells a sidecar something.
+    /// Sends a signal to a sidecar.
     pub fn signal(&self, number: usize, signal: Signal) {
-        let order = match signal {
-            Signal::Term => Order::Term { number },
-            Signal::Kill => Order::Kill { number },
-            Signal::Reload(config) => Order::Reload { number, config },
+        let command = match signal {
+            Signal::Term => WorkerCommand::Term { number },
+            Signal::Kill => WorkerCommand::Kill { number },
+            Signal::Reload(config) => WorkerCommand::Reload { number, config },
         };
-        if let Err(reason) = self.tell(order) {
+        if let Err(reason) = self.send(command) {
             tracing::warn!("{reason}");
         }
     }
@@ -113,12 +115,12 @@
         !self.running.lock().unwrap_or_else(|e| e.into_inner()).contains(&number)
     }
 
-    /// The number of its process.
+    /// Process id of the worker.
     pub fn pid(&self) -> String {
         self.child.borrow().id().to_string()
     }
 
-    /// Whether its process has ended.
+    /// Whether the worker process has exited.
     pub fn has_ended(&self) -> bool {
         !matches!(self.child.borrow_mut().try_wait(), Ok(None))
     }
@@ -133,20 +135,20 @@
 }
 
 /// Runs a worker until its input ends.
-pub fn run() -> Result<(), String> {
+pub fn run_worker() -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     LocalSet::new().block_on(&runtime, async {
-        let (sender, mut orders) = unbounded_channel::<Order>();
+        let (sender, mut commands) = unbounded_channel::<WorkerCommand>();
         std::thread::spawn(move || {
             for line in std::io::stdin().lock().lines().map_while(Result::ok) {
                 match serde_json::from_str(&line) {
-                    Ok(order) => {
-                        if sender.send(order).is_err() {
+                    Ok(command) => {
+                        if sender.send(command).is_err() {
                             return;
                         }
                     }
-                    Err(e) => eprintln!("roseproxy-lab {SUBCOMMAND}: not understood: {e}"),
+                    Err(e) => eprintln!("roseproxy-lab {SUBCOMMAND}: invalid command: {e}"),
                 }
             }
         });
@@ -155,27 +157,27 @@
         loop {
             tokio::select! {
                 biased;
-                order = orders.recv() => match order {
-                    Some(order) => obey(&sidecars, &mut running, order),
+                command = commands.recv() => match command {
+                    Some(command) => execute(&sidecars, &mut running, command),
                     None => return Ok(()),
                 },
-                () = tokio::time::sleep(LOOK) => report_ended(&sidecars, &mut running),
+                () = tokio::time::sleep(END_CHECK_INTERVAL) => report_ended(&sidecars, &mut running),
             }
         }
     })
 }
 
-fn obey(sidecars: &InProcess, running: &mut HashSet<usize>, order: Order) {
-    match order {
-        Order::Start { number, config } => {
+fn execute(sidecars: &InProcess, running: &mut HashSet<usize>, command: WorkerCommand) {
+    match command {
+        WorkerCommand::Start { number, config } => {
             match sidecars.start(number, &config, Tcp, Clock::system(), None) {
                 Ok(()) => drop(running.insert(number)),
                 Err(reason) => eprintln!("roseproxy-lab {SUBCOMMAND}: sidecar {number}: {reason}"),
             }
         }
-        Order::Term { number } => sidecars.signal(number, Signal::Term),
-        Order::Kill { number } => sidecars.signal(number, Signal::Kill),
-        Order::Reload { number, config } => sidecars.signal(number, Signal::Reload(config)),
+        WorkerCommand::Term { number } => sidecars.signal(number, Signal::Term),
+        WorkerCommand::Kill { number } => sidecars.signal(number, Signal::Kill),
+        WorkerCommand::Reload { number, config } => sidecars.signal(number, Signal::Reload(config)),
     }
 }
 
@@ -183,7 +185,7 @@
     running.retain(|number| {
         let ended = sidecars.ended(*number);
         if ended {
-            // Whoever started this process and no longer listens needs no word.
+            // A write error means that the starting process no longer reads; it needs no message then.
             let _ = serde_json::to_string(&Ended { ended: *number })
                 .map(|text| writeln!(std::io::stdout(), "{text}"));
         }
--- a/crates/lab/src/stats.rs
+++ b/crates/lab/src/stats.rs
@@ -1,37 +1,44 @@
-//! Statistics over seeds.
+//! Statistics over the results of several seeds.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Resamples of a bootstrap, and the share of them inside of its interval.
-const RESAMPLES: usize = 4_000;
-const INSIDE: f64 = 0.95;
+const BOOTSTRAP_RESAMPLES: usize = 4_000;
+/// Share of the resamples that lie within a confidence interval.
+const CONFIDENCE_LEVEL: f64 = 0.95;
 
-/// A figure with its confidence interval.
+/// An estimate with its confidence interval.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize)]
 pub struct Estimate {
+    /// The statistic of all values.
     pub value: f64,
+    /// Lower end of the interval.
     pub low: f64,
+    /// Upper end of the interval.
     pub high: f64,
+    /// Number of values.
     pub n: usize,
 }
 
+/// The arithmetic mean; 0 for no values.
 pub fn mean(values: &[f64]) -> f64 {
     values.iter().sum::<f64>() / values.len().max(1) as f64
 }
 
+/// The quantile `q` (0 to 1), interpolated between neighbouring values; NaN for no values.
 pub fn quantile(values: &[f64], q: f64) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
-    let at = q * (sorted.len().max(1) - 1) as f64;
-    let (low, high) = (at.floor() as usize, at.ceil() as usize);
+    let position = q * (sorted.len().max(1) - 1) as f64;
+    let (low, high) = (position.floor() as usize, position.ceil() as usize);
     match (sorted.get(low), sorted.get(high)) {
-        (Some(a), Some(b)) => a + (b - a) * at.fract(),
+        (Some(a), Some(b)) => a + (b - a) * position.fract(),
         _ => f64::NAN,
     }
 }
 
-/// The percentile bootstrap (Efron 1979) of a statistic, from a fixed seed: equal figures, equal interval.
+/// The percentile bootstrap (Efron 1979) of a statistic. Its seed is fixed, so equal values give equal intervals;
+/// fewer than two values give an infinite one.
 pub fn bootstrap(values: &[f64], statistic: impl Fn(&[f64]) -> f64) -> Estimate {
     let mut rng = ChaCha8Rng::seed_from_u64(values.len() as u64);
     let draw = |_| {
@@ -42,8 +49,8 @@
     if values.len() < 2 {
         return Estimate { value, low: f64::NEG_INFINITY, high: f64::INFINITY, n: values.len() };
     }
-    let resampled: Vec<f64> = (0..RESAMPLES).map(draw).collect();
-    let tail = (1.0 - INSIDE) / 2.0;
+    let resampled: Vec<f64> = (0..BOOTSTRAP_RESAMPLES).map(draw).collect();
+    let tail = (1.0 - CONFIDENCE_LEVEL) / 2.0;
     Estimate {
         value,
         low: quantile(&resampled, tail),
@@ -52,8 +59,8 @@
     }
 }
 
-/// A figure in a result by its path, as `classes.place-order.service`.
-pub fn figure(result: &serde_json::Value, path: &str) -> Option<f64> {
+/// A number in a result by its path, such as `classes.place-order.service`; `violations` is the count of all.
+pub fn metric_value(result: &serde_json::Value, path: &str) -> Option<f64> {
     if path == "violations" {
         let counts = result.get("violation_counts")?.as_object()?;
         return Some(counts.values().filter_map(serde_json::Value::as_f64).fold(0.0, |a, b| a + b));
@@ -66,25 +73,25 @@
     use super::*;
 
     #[test]
-    fn quantiles_lie_between_their_neighbours() {
+    fn quantiles_are_interpolated_between_neighbouring_values() {
         assert_eq!(quantile(&[3.0, 1.0, 2.0], 0.5), 2.0);
         assert_eq!(quantile(&[1.0, 2.0], 0.25), 1.25);
     }
 
     #[test]
-    fn an_interval_holds_the_mean_and_says_when_there_is_none() {
+    fn intervals_contain_the_mean_and_are_infinite_for_one_value() {
         let values: Vec<f64> = (0..30).map(|n| f64::from(n % 7)).collect();
         let e = bootstrap(&values, mean);
         assert!(e.low < e.value && e.value < e.high, "{e:?}");
-        assert_eq!(bootstrap(&values, mean), e, "the same again");
-        assert!(bootstrap(&[1.0], mean).low.is_infinite(), "one figure tells nothing of chance");
+        assert_eq!(bootstrap(&values, mean), e, "equal values must give an equal interval");
+        assert!(bootstrap(&[1.0], mean).low.is_infinite(), "one value has no confidence interval");
     }
 
     #[test]
-    fn figures_are_found_by_their_path() {
+    fn metric_values_are_found_by_path() {
         let result = serde_json::json!({"classes": {"a": {"service": 0.5}}, "violation_counts": {"Late": 2, "Lost": 1}});
-        assert_eq!(figure(&result, "classes.a.service"), Some(0.5));
-        assert_eq!(figure(&result, "violations"), Some(3.0));
-        assert_eq!(figure(&result, "nothing.here"), None);
+        assert_eq!(metric_value(&result, "classes.a.service"), Some(0.5));
+        assert_eq!(metric_value(&result, "violations"), Some(3.0));
+        assert_eq!(metric_value(&result, "nothing.here"), None);
     }
 }
--- a/crates/lab/src/strategies.rs
+++ b/crates/lab/src/strategies.rs
@@ -1,6 +1,6 @@
-//! Yardsticks: other ways to choose, in the place of the decision module. They live in the laboratory
-//! alone, and try again as simply as such balancers do: at most as often as the platform allows, and
-//! never where a repeat could run an unsafe request twice.
+//! Baseline strategies that replace the decision module, for comparison. They exist in this crate only.
+//! Their retries are as simple as those of common load balancers: at most as many as the platform allows,
+//! and never where a repeat could run an unsafe request twice.
 
 use clap::ValueEnum;
 use rand::{Rng, SeedableRng};
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-/// Who decides.
+/// The strategy that chooses the server of each attempt.
 #[derive(
     Clone,
     Copy,
@@ -31,164 +31,186 @@
     /// The decision module.
     #[default]
     Module,
-    /// A server drawn evenly.
+    /// A server drawn uniformly at random.
     Random,
-    /// Turns by the sizes that the list states, smoothly interleaved as nginx does it.
+    /// Smooth weighted round robin as in nginx, with the sizes in the server list as weights.
     WeightedRoundRobin,
-    /// The one with fewer own requests open of two drawn (Mitzenmacher 2001).
+    /// Of two random servers, the one with fewer open requests from this sidecar (Mitzenmacher 2001).
     LeastOfTwo,
-    /// Probing of requests in flight and latency, hot and cold (Prequal, Wydrowski and others 2024).
+    /// Hot-cold selection by probed requests in flight and latency (Prequal, Wydrowski and others 2024).
     Prequal,
-    /// Sees the true state of all servers at every moment, which no real one can.
+    /// Knows the true state of all servers at every moment, which no real balancer can.
     AllSeeing,
 }
 
 impl Strategy {
-    /// Its name, as on the command line.
+    /// The name on the command line.
     pub fn name(self) -> String {
         self.to_possible_value().map_or_else(String::new, |value| value.get_name().to_owned())
     }
 }
 
-/// How long a unit of work would take at a server, by its true state; infinite where it takes none.
-pub type Truth = Rc<dyn Fn(ServerId) -> f64>;
+/// How long a unit of work would take at a server by its true state; infinite if the server takes no work.
+pub type TrueServiceTime = Rc<dyn Fn(ServerId) -> f64>;
 
-/// Probes kept by the Prequal kind, their longest age, and the share of them that counts as hot.
-const POOL: usize = 16;
-const PROBE_AGE: Micros = 1_000_000;
-const HOT: f64 = 0.8;
-/// Probes that a request sends there.
-const PROBES: usize = 2;
-const LIST: u64 = 7;
+/// Most probe results that Prequal keeps.
+const PREQUAL_POOL_SIZE: usize = 16;
+const PREQUAL_MAX_PROBE_AGE_US: Micros = 1_000_000;
+/// Servers whose requests in flight reach this quantile of the probe pool count as hot.
+const PREQUAL_HOT_QUANTILE: f64 = 0.8;
+const PREQUAL_PROBES_PER_REQUEST: usize = 2;
+/// Timer after which the decider subscribes to the server list again.
+const SUBSCRIBE_TIMER_TOKEN: u64 = 7;
+const MIN_SUBSCRIBE_DELAY_US: Micros = 20_000;
+/// Most random delay on top of the minimum.
+const SUBSCRIBE_JITTER_US: f64 = 200_000.0;
+/// Weight of a new latency in a server's moving average.
+const LATENCY_GAIN: f64 = 0.1;
+/// Least weight of a server, so that each has one above 0.
+const MIN_WEIGHT: f64 = 0.01;
 
+/// State of a server as a baseline strategy knows it.
 #[derive(Clone, Debug, Default)]
-struct Known {
+struct ServerState {
     ready: bool,
     weight: f64,
-    /// Smooth turn of the weighted round robin.
-    turn: f64,
-    open: i64,
+    /// Current weight of the smooth weighted round robin.
+    current_weight: f64,
+    open_requests: i64,
+    /// Moving average (microseconds); 0 before the first answer.
     latency: f64,
 }
 
+/// A request that has not ended.
 #[derive(Debug)]
-struct Held {
+struct OpenRequest {
     class: usize,
     deadline: Micros,
     tried: Vec<ServerId>,
     may_have_run: bool,
 }
 
+/// The result of a probe.
 struct Probe {
     server: ServerId,
     inflight: f64,
     at: Micros,
 }
 
-/// A yardstick.
-pub struct Yardstick {
+/// A decider that follows a baseline strategy.
+pub struct BaselineDecider {
     strategy: Strategy,
     settings: Settings,
     rng: ChaCha8Rng,
-    servers: BTreeMap<ServerId, Known>,
-    requests: HashMap<RequestId, Held>,
+    servers: BTreeMap<ServerId, ServerState>,
+    requests: HashMap<RequestId, OpenRequest>,
     probes: Vec<Probe>,
-    truth: Truth,
+    true_service_time: TrueServiceTime,
     now: Micros,
 }
 
-impl Yardstick {
-    pub fn new(strategy: Strategy, settings: Settings, seed: u64, truth: Truth) -> Yardstick {
-        Yardstick {
+impl BaselineDecider {
+    /// A decider that knows no servers yet; `true_service_time` is used by [`Strategy::AllSeeing`] only.
+    pub fn new(
+        strategy: Strategy,
+        settings: Settings,
+        seed: u64,
+        true_service_time: TrueServiceTime,
+    ) -> BaselineDecider {
+        BaselineDecider {
             strategy,
             settings,
             rng: ChaCha8Rng::seed_from_u64(seed),
             servers: BTreeMap::new(),
             requests: HashMap::new(),
             probes: Vec::new(),
-            truth,
+            true_service_time,
             now: 0,
         }
     }
 
-    fn choose(&mut self, tried: &[ServerId]) -> Option<ServerId> {
+    fn choose_server(&mut self, tried: &[ServerId]) -> Option<ServerId> {
         let ready: Vec<ServerId> = self.servers.iter().filter(|(_, k)| k.ready).map(|(id, _)| *id).collect();
-        let fresh: Vec<ServerId> = ready.iter().filter(|id| !tried.contains(id)).copied().collect();
-        let among = if fresh.is_empty() { ready } else { fresh };
-        if among.is_empty() {
+        let untried: Vec<ServerId> = ready.iter().filter(|id| !tried.contains(id)).copied().collect();
+        let candidates = if untried.is_empty() { ready } else { untried };
+        if candidates.is_empty() {
             return None;
         }
-        let draw = |rng: &mut ChaCha8Rng| among[rng.random_range(0..among.len())];
+        let draw = |rng: &mut ChaCha8Rng| candidates[rng.random_range(0..candidates.len())];
         Some(match self.strategy {
             Strategy::Module | Strategy::Random => draw(&mut self.rng),
             Strategy::LeastOfTwo => {
                 let (a, b) = (draw(&mut self.rng), draw(&mut self.rng));
-                if self.servers[&b].open < self.servers[&a].open {
+                if self.servers[&b].open_requests < self.servers[&a].open_requests {
                     b
                 } else {
                     a
                 }
             }
-            Strategy::WeightedRoundRobin => self.turn(&among)?,
-            Strategy::Prequal => self.hot_cold(&among).unwrap_or_else(|| draw(&mut self.rng)),
+            Strategy::WeightedRoundRobin => self.smooth_round_robin(&candidates)?,
+            Strategy::Prequal => self.hot_cold_choice(&candidates).unwrap_or_else(|| draw(&mut self.rng)),
             Strategy::AllSeeing => {
                 let first = draw(&mut self.rng);
                 let best = |best: ServerId, id: &ServerId| {
-                    if (self.truth)(*id) < (self.truth)(best) {
+                    if (self.true_service_time)(*id) < (self.true_service_time)(best) {
                         *id
                     } else {
                         best
                     }
                 };
-                among.iter().fold(first, best)
+                candidates.iter().fold(first, best)
             }
         })
     }
 
-    fn turn(&mut self, among: &[ServerId]) -> Option<ServerId> {
-        let sum: f64 = among.iter().map(|id| self.servers[id].weight).sum();
-        for id in among {
-            let known = self.servers.get_mut(id)?;
-            known.turn += known.weight;
+    fn smooth_round_robin(&mut self, candidates: &[ServerId]) -> Option<ServerId> {
+        let sum: f64 = candidates.iter().map(|id| self.servers[id].weight).sum();
+        for id in candidates {
+            let server_state = self.servers.get_mut(id)?;
+            server_state.current_weight += server_state.weight;
         }
-        let best = *among.iter().max_by(|a, b| self.servers[a].turn.total_cmp(&self.servers[b].turn))?;
-        self.servers.get_mut(&best)?.turn -= sum;
+        let best = *candidates
+            .iter()
+            .max_by(|a, b| self.servers[a].current_weight.total_cmp(&self.servers[b].current_weight))?;
+        self.servers.get_mut(&best)?.current_weight -= sum;
         Some(best)
     }
 
-    fn hot_cold(&mut self, among: &[ServerId]) -> Option<ServerId> {
+    fn hot_cold_choice(&mut self, candidates: &[ServerId]) -> Option<ServerId> {
         let now = self.now;
-        self.probes.retain(|p| now - p.at < PROBE_AGE);
-        let fit: Vec<&Probe> = self.probes.iter().filter(|p| among.contains(&p.server)).collect();
-        let mut flights: Vec<f64> = fit.iter().map(|p| p.inflight).collect();
-        flights.sort_by(f64::total_cmp);
-        let limit = *flights.get((flights.len() as f64 * HOT) as usize)?;
+        self.probes.retain(|p| now - p.at < PREQUAL_MAX_PROBE_AGE_US);
+        let probed: Vec<&Probe> = self.probes.iter().filter(|p| candidates.contains(&p.server)).collect();
+        let mut in_flight: Vec<f64> = probed.iter().map(|p| p.inflight).collect();
+        in_flight.sort_by(f64::total_cmp);
+        let limit = *in_flight.get((in_flight.len() as f64 * PREQUAL_HOT_QUANTILE) as usize)?;
         let latency = |p: &&Probe| self.servers[&p.server].latency;
-        let cold = fit.iter().filter(|p| p.inflight < limit).min_by(|a, b| latency(a).total_cmp(&latency(b)));
-        let chosen = cold.or_else(|| fit.iter().min_by(|a, b| a.inflight.total_cmp(&b.inflight)))?.server;
-        // Each use makes a figure older: one more is in flight there now.
-        let used = self.probes.iter_mut().find(|p| p.server == chosen);
-        used.into_iter().for_each(|p| p.inflight += 1.0);
+        let cold =
+            probed.iter().filter(|p| p.inflight < limit).min_by(|a, b| latency(a).total_cmp(&latency(b)));
+        let chosen = cold.or_else(|| probed.iter().min_by(|a, b| a.inflight.total_cmp(&b.inflight)))?.server;
+        // The probe result stays in the pool; the request sent now adds one to its requests in flight.
+        let reused_probe = self.probes.iter_mut().find(|p| p.server == chosen);
+        reused_probe.into_iter().for_each(|p| p.inflight += 1.0);
         Some(chosen)
     }
 
-    fn send(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(held) = self.requests.get(&id) else { return };
-        let tried = held.tried.clone();
-        match self.choose(&tried) {
+    fn send_attempt(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        let Some(open_request) = self.requests.get(&id) else { return };
+        let tried = open_request.tried.clone();
+        match self.choose_server(&tried) {
             Some(server) => {
-                self.servers.entry(server).and_modify(|k| k.open += 1);
+                self.servers.entry(server).and_modify(|k| k.open_requests += 1);
                 self.requests.entry(id).and_modify(|h| h.tried.push(server));
                 out.push(Action::Send { request: id, server, timeout: None });
             }
-            None => self.finish(id, out),
+            None => self.give_up(id, out),
         }
     }
 
-    fn finish(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(held) = self.requests.remove(&id) else { return };
-        let harmless = !held.may_have_run || self.settings.classes[held.class].effect == Effect::Safe;
-        out.push(if harmless {
+    fn give_up(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        let Some(open_request) = self.requests.remove(&id) else { return };
+        let may_refuse =
+            !open_request.may_have_run || self.settings.classes[open_request.class].effect == Effect::Safe;
+        out.push(if may_refuse {
             Action::Refuse { request: id, retry_after: 0, reason: GiveUpReason::AttemptsFailed }
         } else {
             Action::Fail { request: id }
@@ -196,7 +218,7 @@
     }
 }
 
-impl Decider for Yardstick {
+impl Decider for BaselineDecider {
     fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = now;
         match event {
@@ -204,66 +226,67 @@
                 if update == Update::Complete {
                     self.servers.values_mut().for_each(|k| k.ready = false);
                 }
-                for s in servers {
-                    let known = self.servers.entry(s.id).or_default();
-                    known.ready = s.readiness == Readiness::Ready;
-                    known.weight = s.power.max(0.01);
+                for server in servers {
+                    let server_state = self.servers.entry(server.id).or_default();
+                    server_state.ready = server.readiness == Readiness::Ready;
+                    server_state.weight = server.power.max(MIN_WEIGHT);
                 }
                 if update == Update::Failed
                     || (self.requests.is_empty() && self.now >= 0 && update == Update::Complete)
                 {
-                    let after = (200_000.0 * self.rng.random::<f64>()) as Micros + 20_000;
-                    out.push(Action::Timer { token: LIST, after });
+                    let after =
+                        (SUBSCRIBE_JITTER_US * self.rng.random::<f64>()) as Micros + MIN_SUBSCRIBE_DELAY_US;
+                    out.push(Action::Timer { token: SUBSCRIBE_TIMER_TOKEN, after });
                 }
             }
             Event::Request(request) => {
                 if self.strategy == Strategy::Prequal {
                     let ready: Vec<ServerId> =
                         self.servers.iter().filter(|(_, k)| k.ready).map(|(id, _)| *id).collect();
-                    for _ in 0..PROBES.min(ready.len()) {
+                    for _ in 0..PREQUAL_PROBES_PER_REQUEST.min(ready.len()) {
                         let server = ready[self.rng.random_range(0..ready.len())];
                         out.push(Action::Probe { server });
                     }
                 }
-                let held = Held {
+                let open_request = OpenRequest {
                     class: request.class,
                     deadline: now + request.time_left,
                     tried: Vec::new(),
                     may_have_run: false,
                 };
-                self.requests.insert(request.id, held);
-                self.send(request.id, out);
+                self.requests.insert(request.id, open_request);
+                self.send_attempt(request.id, out);
             }
             Event::Ended { request, server, outcome, elapsed, finished, .. } => {
-                if let Some(known) = self.servers.get_mut(&server) {
-                    known.open -= 1;
+                if let Some(server_state) = self.servers.get_mut(&server) {
+                    server_state.open_requests -= 1;
                     if outcome == Outcome::Served {
-                        let gain = if known.latency == 0.0 { 1.0 } else { 0.1 };
-                        known.latency += (elapsed as f64 - known.latency) * gain;
+                        let gain = if server_state.latency == 0.0 { 1.0 } else { LATENCY_GAIN };
+                        server_state.latency += (elapsed as f64 - server_state.latency) * gain;
                     }
                 }
-                let Some(held) = self.requests.get_mut(&request) else { return };
+                let Some(open_request) = self.requests.get_mut(&request) else { return };
                 if finished || outcome == Outcome::Served {
                     self.requests.remove(&request);
                     return;
                 }
-                held.may_have_run |=
+                open_request.may_have_run |=
                     !matches!(outcome, Outcome::Rejected | Outcome::Unreachable | Outcome::NotSent);
-                let safe = self.settings.classes[held.class].effect == Effect::Safe;
-                let again = (safe || !held.may_have_run)
-                    && held.tried.len() < self.settings.max_attempts
-                    && held.deadline > now;
-                if again {
-                    self.send(request, out);
+                let safe = self.settings.classes[open_request.class].effect == Effect::Safe;
+                let may_retry = (safe || !open_request.may_have_run)
+                    && open_request.tried.len() < self.settings.max_attempts
+                    && open_request.deadline > now;
+                if may_retry {
+                    self.send_attempt(request, out);
                 } else {
-                    self.finish(request, out);
+                    self.give_up(request, out);
                 }
             }
             Event::Expired { request } => drop(self.requests.remove(&request)),
-            Event::Timer { token: LIST } => out.push(Action::Subscribe),
+            Event::Timer { token: SUBSCRIBE_TIMER_TOKEN } => out.push(Action::Subscribe),
             Event::Probed { server, load, .. } => {
                 if let Some(inflight) = load.and_then(|l| l.held) {
-                    if self.probes.len() >= POOL {
+                    if self.probes.len() >= PREQUAL_POOL_SIZE {
                         self.probes.remove(0);
                     }
                     self.probes.push(Probe { server, inflight, at: now });
--- a/crates/lab/src/swarm.rs
+++ b/crates/lab/src/swarm.rs
@@ -1,45 +1,51 @@
-//! Random days with random faults; one that breaks a rule is shrunk to the smallest that still does.
+//! Runs random scenarios with random faults; one that breaks a rule is shrunk to a smaller one that still does.
 
-use crate::run::{write, How};
-use crate::sweep::{play_all, Task};
+use crate::run::{write_file, RunOptions};
+use crate::sweep::{run_tasks, Task};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use roseproxy_emulator::day::Day;
-use roseproxy_emulator::ledger::Rule;
+use roseproxy_emulator::accounting::Rule;
 use roseproxy_emulator::result::broken;
+use roseproxy_emulator::scenario::Scenario;
 use std::collections::BTreeSet;
 use std::fmt::Write;
 use std::path::Path;
 
-/// Plays for one shrink at most.
-const SHRINKS: usize = 60;
+/// No further step of a shrink begins after this many runs.
+const MAX_SHRINK_RUNS: usize = 60;
+/// Smaller scenarios that a shrink runs at a time.
+const SHRINK_BATCH: usize = 4;
 
-/// A fault in a random day.
+/// A fault of a random scenario.
 #[derive(Clone, Debug, PartialEq)]
 struct Fault {
     kind: &'static str,
-    at: f64,
-    length: f64,
+    at_s: f64,
+    length_s: f64,
+    /// Meaning and range depend on the kind.
     size: f64,
+    /// Share of the fleet that is affected.
     part: f64,
     silent: bool,
     sidecars: bool,
 }
 
-/// A random day, small enough to be varied.
+/// A random scenario, given by the few values that are drawn and shrunk.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Random {
+pub struct RandomScenario {
     seed: u64,
-    length: f64,
+    length_s: f64,
     servers: usize,
     sidecars: usize,
+    /// Share of the fleet's capacity.
     load: f64,
     sockets: usize,
-    deep: bool,
+    probe_deep: bool,
     faults: Vec<Fault>,
 }
 
-const KINDS: [(&str, f64, f64); 14] = [
+/// Kinds of faults, each with the lowest and the highest size that is drawn.
+const FAULT_KINDS: [(&str, f64, f64); 14] = [
     ("burst", 1.3, 3.0),
     ("pauses", 50.0, 900.0),
     ("zone-loss", 1.0, 1.0),
@@ -56,17 +62,17 @@
     ("slow", 2.0, 6.0),
 ];
 
-impl Random {
-    fn draw(seed: u64) -> Random {
+impl RandomScenario {
+    fn draw(seed: u64) -> RandomScenario {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let length = rng.random_range(8.0..25.0_f64).round();
+        let length_s = rng.random_range(8.0..25.0_f64).round();
         let count = rng.random_range(1..=4);
         let faults = (0..count).map(|_| {
-            let (kind, low, high) = KINDS[rng.random_range(0..KINDS.len())];
+            let (kind, low, high) = FAULT_KINDS[rng.random_range(0..FAULT_KINDS.len())];
             Fault {
                 kind,
-                at: (rng.random_range(0.0..length * 0.7) * 10.0).round() / 10.0,
-                length: rng.random_range(1.0..length * 0.6).round(),
+                at_s: (rng.random_range(0.0..length_s * 0.7) * 10.0).round() / 10.0,
+                length_s: rng.random_range(1.0..length_s * 0.6).round(),
                 size: ((low + (high - low) * rng.random::<f64>()) * 10.0).round() / 10.0,
                 part: (rng.random_range(0.05..0.6_f64) * 100.0).round() / 100.0,
                 silent: rng.random(),
@@ -74,89 +80,95 @@
             }
         });
         let faults = faults.collect();
-        Random {
+        RandomScenario {
             seed,
-            length,
+            length_s,
             servers: rng.random_range(2..=14),
             sidecars: rng.random_range(1..=9),
             load: (rng.random_range(0.15..1.3_f64) * 100.0).round() / 100.0,
             sockets: [64, 96, 256, 1024][rng.random_range(0..4)],
-            deep: rng.random(),
+            probe_deep: rng.random(),
             faults,
         }
     }
 
-    /// The day's file.
-    pub fn text(&self) -> String {
+    /// The scenario file.
+    pub fn to_toml(&self) -> String {
         let mut text = format!(
             "name = \"swarm-{}\"\nabout = \"Found by a swarm.\"\nseed = {}\nlength_s = {:.1}\n\n[fleet]\nservers = {}\nsidecars = {}\n\n\
              [load]\nof_capacity = {:.2}\n\n[limits]\nsockets = {}\n\n[server]\nprobe_deep = {}\n",
-            self.seed, self.seed, self.length, self.servers, self.sidecars, self.load, self.sockets, self.deep
+            self.seed, self.seed, self.length_s, self.servers, self.sidecars, self.load, self.sockets, self.probe_deep
         );
-        for f in &self.faults {
-            // Writing to a text cannot fail.
+        for fault in &self.faults {
+            // Writing to a String cannot fail.
             let _ = write!(
                 text,
                 "\n[[trouble]]\nkind = \"{}\"\nat_s = {:.1}\nlen_s = {:.1}\nsize = {:.1}\npart = {:.2}\nsilent = {}\nsidecars = {}\n",
-                f.kind, f.at, f.length, f.size, f.part, f.silent, f.sidecars
+                fault.kind, fault.at_s, fault.length_s, fault.size, fault.part, fault.silent, fault.sidecars
             );
         }
         text
     }
 
-    /// Every day that is a step smaller.
-    fn smaller(&self) -> Vec<Random> {
-        let mut all: Vec<Random> = (0..self.faults.len())
+    /// All scenarios that are smaller by one step.
+    fn smaller_variants(&self) -> Vec<RandomScenario> {
+        let mut all: Vec<RandomScenario> = (0..self.faults.len())
             .map(|n| {
-                let mut less = self.clone();
-                less.faults.remove(n);
-                less
+                let mut variant = self.clone();
+                variant.faults.remove(n);
+                variant
             })
             .collect();
-        let mut push = |fits: bool, change: &dyn Fn(&mut Random)| {
-            let mut less = self.clone();
-            change(&mut less);
-            if fits && less != *self {
-                all.push(less);
+        let mut push = |fits: bool, change: &dyn Fn(&mut RandomScenario)| {
+            let mut variant = self.clone();
+            change(&mut variant);
+            if fits && variant != *self {
+                all.push(variant);
             }
         };
-        push(self.length > 4.0, &|r| r.length = (r.length / 2.0).ceil());
+        push(self.length_s > 4.0, &|r| r.length_s = (r.length_s / 2.0).ceil());
         push(self.sidecars > 1, &|r| r.sidecars /= 2);
         push(self.servers > 1, &|r| r.servers = (r.servers / 2).max(1));
         push(self.load > 0.2, &|r| r.load = (r.load * 50.0).round() / 100.0);
         for n in 0..self.faults.len() {
-            push(self.faults[n].length > 1.0, &|r| r.faults[n].length = (r.faults[n].length / 2.0).ceil());
+            push(self.faults[n].length_s > 1.0, &|r| {
+                r.faults[n].length_s = (r.faults[n].length_s / 2.0).ceil()
+            });
         }
         all
     }
 
     fn task(&self) -> Result<Task, String> {
-        let day = Day::read("a random day", &self.text()).map_err(|e| e.to_string())?;
-        Ok(Task { variant: "swarm".into(), day, seed: self.seed, how: How::default() })
+        let scenario = Scenario::read("a random scenario", &self.to_toml()).map_err(|e| e.to_string())?;
+        Ok(Task { variant: "swarm".into(), scenario, seed: self.seed, options: RunOptions::default() })
     }
 }
 
-fn rules(randoms: &[Random], threads: Option<usize>) -> Result<Vec<BTreeSet<Rule>>, String> {
-    let tasks = randoms.iter().map(Random::task).collect::<Result<Vec<_>, _>>()?;
-    let played = play_all(&tasks, threads);
-    let rules = played.into_iter().zip(randoms).map(|(p, r)| match p {
-        Ok(p) => Ok(broken(&p.outcome)),
-        Err(e) => Err(format!("seed {}: {e}", r.seed)),
+/// Runs scenarios and returns the rules that each of them broke.
+fn rules_broken_by(
+    scenarios: &[RandomScenario],
+    threads: Option<usize>,
+) -> Result<Vec<BTreeSet<Rule>>, String> {
+    let tasks = scenarios.iter().map(RandomScenario::task).collect::<Result<Vec<_>, _>>()?;
+    let completed = run_tasks(&tasks, threads);
+    let rules = completed.into_iter().zip(scenarios).map(|(run, scenario)| match run {
+        Ok(run) => Ok(broken(&run.outcome)),
+        Err(e) => Err(format!("seed {}: {e}", scenario.seed)),
     });
     rules.collect()
 }
 
-/// The smallest day found that still breaks one of these rules.
-fn shrink(from: &Random, wanted: &BTreeSet<Rule>) -> Result<Random, String> {
-    let (mut best, mut played) = (from.clone(), 0);
-    'again: while played < SHRINKS {
-        let smaller = best.smaller();
-        for some in smaller.chunks(4) {
-            played += some.len();
-            let broken = rules(some, None)?;
-            if let Some(at) = broken.iter().position(|b| !b.is_disjoint(wanted)) {
-                best = some[at].clone();
-                continue 'again;
+/// Shrinks a scenario step by step while it still breaks one of the given rules.
+fn shrink(original: &RandomScenario, rules: &BTreeSet<Rule>) -> Result<RandomScenario, String> {
+    let (mut best, mut runs) = (original.clone(), 0);
+    'next_step: while runs < MAX_SHRINK_RUNS {
+        let smaller = best.smaller_variants();
+        for batch in smaller.chunks(SHRINK_BATCH) {
+            runs += batch.len();
+            let broken = rules_broken_by(batch, None)?;
+            if let Some(at) = broken.iter().position(|b| !b.is_disjoint(rules)) {
+                best = batch[at].clone();
+                continue 'next_step;
             }
         }
         break;
@@ -164,33 +176,33 @@
     Ok(best)
 }
 
-/// Plays so many random days; failing ones are shrunk and written as day files. Returns what was found,
-/// in words, and how many days broke a rule.
-pub fn swarm(first: u64, seeds: u64, out: &Path) -> Result<(String, usize), String> {
-    let all: Vec<Random> = (first..first + seeds).map(Random::draw).collect();
-    let broken = rules(&all, None)?;
+/// Runs a number of random scenarios; those that break a rule are shrunk and written as scenario files. Returns a
+/// summary, and how many scenarios broke a rule.
+pub fn run_swarm(first: u64, seeds: u64, out: &Path) -> Result<(String, usize), String> {
+    let scenarios: Vec<RandomScenario> = (first..first + seeds).map(RandomScenario::draw).collect();
+    let broken = rules_broken_by(&scenarios, None)?;
     let mut text = String::new();
-    let mut found = 0;
-    for (random, rules) in all.iter().zip(&broken).filter(|(_, rules)| !rules.is_empty()) {
-        found += 1;
+    let mut failing = 0;
+    for (random, rules) in scenarios.iter().zip(&broken).filter(|(_, rules)| !rules.is_empty()) {
+        failing += 1;
         let small = shrink(random, rules)?;
         let file = out.join(format!("swarm-{}.toml", random.seed));
-        write(&file, &small.text())?;
+        write_file(&file, &small.to_toml())?;
         let names: Vec<String> = rules.iter().map(ToString::to_string).collect();
         let _ = writeln!(
             text,
-            "seed {}: {}; smallest day with {} troubles, {} s, {} servers, {} sidecars: {}",
+            "seed {}: {}; smallest scenario with {} faults, {} s, {} servers, {} sidecars: {}",
             random.seed,
             names.join(", "),
             small.faults.len(),
-            small.length,
+            small.length_s,
             small.servers,
             small.sidecars,
             file.display()
         );
     }
-    let _ = writeln!(text, "{seeds} random days from seed {first}: {found} broke a rule");
-    Ok((text, found))
+    let _ = writeln!(text, "{seeds} random scenarios from seed {first}: {failing} broke a rule");
+    Ok((text, failing))
 }
 
 #[cfg(test)]
@@ -198,12 +210,12 @@
     use super::*;
 
     #[test]
-    fn random_days_can_be_read_and_get_smaller() {
+    fn random_scenarios_and_their_smaller_variants_are_valid() {
         for seed in 0..50 {
-            let random = Random::draw(seed);
-            assert!(random.task().is_ok(), "{}", random.text());
-            for less in random.smaller() {
-                assert!(less.task().is_ok(), "{}", less.text());
+            let random = RandomScenario::draw(seed);
+            assert!(random.task().is_ok(), "{}", random.to_toml());
+            for variant in random.smaller_variants() {
+                assert!(variant.task().is_ok(), "{}", variant.to_toml());
             }
         }
     }
