--- a/crates/lab/src/sweep.rs
+++ b/crates/lab/src/sweep.rs
@@ -1,11 +1,11 @@
-//! Experiments: variants times days times seeds, in parallel on all cores; and the comparison of two.
+//! Experiments: runs every variant with every scenario and seed, in parallel on all cores, and compares results.
 
-use crate::report::bars;
-use crate::run::{keep, play, write, How, Played};
-use crate::stats::{bootstrap, figure, mean, quantile};
+use crate::report::comparison_chart;
+use crate::run::{run_scenario, write_file, write_results, CompletedRun, RunOptions};
+use crate::stats::{bootstrap, mean, metric_value, quantile};
 use crate::strategies::Strategy;
 use indicatif::ProgressBar;
-use roseproxy_emulator::day::Day;
+use roseproxy_emulator::scenario::Scenario;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -13,23 +13,25 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-/// An experiment's file.
+/// An experiment file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
+    /// Name of the experiment, as shown in the table and the chart.
     pub name: String,
-    /// Day files, relative to the experiment's own.
+    /// Scenario files, relative to the experiment file.
     pub days: Vec<PathBuf>,
     /// First and last seed.
     pub seeds: [u64; 2],
-    /// What is shown of each result, by its path in `result.json`.
-    #[serde(default = "service")]
+    /// Metrics in the table, as paths in `result.json`.
+    #[serde(default = "default_metrics")]
     pub metrics: Vec<String>,
+    /// Variants to compare.
     #[serde(rename = "variant")]
     pub variants: Vec<Variant>,
 }
 
-fn service() -> Vec<String> {
+fn default_metrics() -> Vec<String> {
     ["service", "worst_window", "refusals.tries_share", "latency.p99", "violations"]
         .map(String::from)
         .to_vec()
@@ -39,53 +41,62 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Variant {
+    /// Name of the variant, and of its folder of results.
     pub name: String,
+    /// Strategy of all sidecars.
     #[serde(default)]
     pub strategy: Strategy,
-    /// Keys of the day that it sets, by their path: `"load.of_capacity" = 0.6`.
+    /// Keys of the scenario that the variant sets, by path: `"load.of_capacity" = 0.6`.
     #[serde(default)]
     pub set: BTreeMap<String, toml::Value>,
-    /// A program to start on real sockets, in place of virtual time: another build.
+    /// Sidecar program to run on real sockets instead of virtual time, for example another build.
     #[serde(default)]
     pub program: Option<PathBuf>,
 }
 
-/// One thing to play.
+/// One run of a scenario.
 #[derive(Clone, Debug)]
 pub struct Task {
+    /// Name of the variant.
     pub variant: String,
-    pub day: Day,
+    /// The scenario, with the variant's keys set.
+    pub scenario: Scenario,
+    /// Seed of all random draws.
     pub seed: u64,
-    pub how: How,
+    /// How the scenario is run.
+    pub options: RunOptions,
 }
 
-/// Plays tasks on all cores, each where it stands in the list; a bar shows how far it is.
-pub fn play_all(tasks: &[Task], threads: Option<usize>) -> Vec<Result<Played, String>> {
+/// Runs tasks on all cores with a progress bar. The results are in the order of the tasks.
+pub fn run_tasks(tasks: &[Task], threads: Option<usize>) -> Vec<Result<CompletedRun, String>> {
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
-    let real = tasks.iter().any(|t| t.how.program.is_some());
-    // Real sockets want the machine for themselves.
+    let real = tasks.iter().any(|t| t.options.program.is_some());
+    // Runs on real sockets would distort each other's timing, so they run one at a time.
     let threads = if real { 1 } else { threads.unwrap_or(cores).clamp(1, tasks.len().max(1)) };
-    let (next, bar) = (AtomicUsize::new(0), ProgressBar::new(tasks.len() as u64));
-    let results: Mutex<Vec<Option<Result<Played, String>>>> =
+    let (next_task, bar) = (AtomicUsize::new(0), ProgressBar::new(tasks.len() as u64));
+    let results: Mutex<Vec<Option<Result<CompletedRun, String>>>> =
         Mutex::new((0..tasks.len()).map(|_| None).collect());
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| loop {
-                let at = next.fetch_add(1, Ordering::Relaxed);
-                let Some(task) = tasks.get(at) else { return };
-                let played = play(&task.day, task.seed, &task.how);
+                let index = next_task.fetch_add(1, Ordering::Relaxed);
+                let Some(task) = tasks.get(index) else { return };
+                let completed = run_scenario(&task.scenario, task.seed, &task.options);
                 bar.inc(1);
-                // A thread that panicked has left its results whole: they are only ever put in.
-                results.lock().unwrap_or_else(|e| e.into_inner())[at] = Some(played);
+                // A poisoned lock is safe to use: each slot is only ever assigned as a whole.
+                results.lock().unwrap_or_else(|e| e.into_inner())[index] = Some(completed);
             });
         }
     });
     bar.finish_and_clear();
     let results = results.into_inner().unwrap_or_else(|e| e.into_inner());
-    results.into_iter().map(|r| r.unwrap_or_else(|| Err("its thread ended".into()))).collect()
+    results
+        .into_iter()
+        .map(|r| r.unwrap_or_else(|| Err("the thread of this run ended without a result".into())))
+        .collect()
 }
 
-/// Sets a key of a TOML table by its path, as `load.of_capacity`.
+/// Sets a key of a TOML table by its path, such as `load.of_capacity`.
 pub fn set_key(table: &mut toml::Table, key: &str, value: &toml::Value) -> Result<(), String> {
     let mut at = table;
     let mut parts: Vec<&str> = key.split('.').collect();
@@ -98,10 +109,10 @@
     Ok(())
 }
 
-/// A day's file with some keys set.
-pub fn day_with(path: &Path, set: &BTreeMap<String, toml::Value>) -> Result<Day, String> {
+/// Loads a scenario file with some keys set.
+pub fn load_scenario_with(path: &Path, set: &BTreeMap<String, toml::Value>) -> Result<Scenario, String> {
     if set.is_empty() {
-        return Day::load(path).map_err(|e| e.to_string());
+        return Scenario::load(path).map_err(|e| e.to_string());
     }
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|e| format!("{name}: {e}"))?;
@@ -110,63 +121,71 @@
         set_key(&mut table, key, value)?;
     }
     let text = toml::to_string(&table).map_err(|e| format!("{name}: {e}"))?;
-    Day::read(&format!("{name} with {set:?}"), &text).map_err(|e| e.to_string())
+    Scenario::read(&format!("{name} with {set:?}"), &text).map_err(|e| e.to_string())
 }
 
-/// Runs an experiment and keeps every result; returns its table.
-pub fn sweep(file: &Path, out: &Path, threads: Option<usize>) -> Result<String, String> {
+/// Runs an experiment and writes its results, table and chart; returns the table.
+pub fn run_sweep(file: &Path, out: &Path, threads: Option<usize>) -> Result<String, String> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
     let experiment: Experiment = toml::from_str(&text).map_err(|e| format!("{name}: {e}"))?;
     let [first, last] = experiment.seeds;
     if first > last || experiment.variants.is_empty() || experiment.days.is_empty() {
-        return Err(format!("{name}: seeds go from the first to the last, and there is a variant and a day"));
+        return Err(format!("{name}: needs a first seed up to the last, a variant and a day"));
     }
     let base = file.parent().unwrap_or(Path::new("."));
     let mut tasks = Vec::new();
     for variant in &experiment.variants {
-        for day in &experiment.days {
-            let day = day_with(&base.join(day), &variant.set)?;
+        for file in &experiment.days {
+            let scenario = load_scenario_with(&base.join(file), &variant.set)?;
             for seed in first..=last {
-                let how = How { strategy: variant.strategy, program: variant.program.clone(), live: false };
-                tasks.push(Task { variant: variant.name.clone(), day: day.clone(), seed, how });
+                let options = RunOptions {
+                    strategy: variant.strategy,
+                    program: variant.program.clone(),
+                    live_table: false,
+                };
+                tasks.push(Task { variant: variant.name.clone(), scenario: scenario.clone(), seed, options });
             }
         }
     }
-    let results = play_all(&tasks, threads);
-    let mut figures: BTreeMap<(String, String), Vec<serde_json::Value>> = BTreeMap::new();
-    for (task, played) in tasks.iter().zip(results) {
-        let played =
-            played.map_err(|e| format!("{} {} seed {}: {e}", task.variant, task.day.name, task.seed))?;
-        keep(&played, &out.join(&task.variant).join(&task.day.name).join(format!("seed-{}", task.seed)))?;
-        let value = serde_json::to_value(&played.outcome).map_err(|e| e.to_string())?;
-        figures.entry((task.day.name.clone(), task.variant.clone())).or_default().push(value);
+    let results = run_tasks(&tasks, threads);
+    let mut outcomes: BTreeMap<(String, String), Vec<serde_json::Value>> = BTreeMap::new();
+    for (task, completed) in tasks.iter().zip(results) {
+        let completed = completed
+            .map_err(|e| format!("{} {} seed {}: {e}", task.variant, task.scenario.name, task.seed))?;
+        write_results(
+            &completed,
+            &out.join(&task.variant).join(&task.scenario.name).join(format!("seed-{}", task.seed)),
+        )?;
+        let value = serde_json::to_value(&completed.outcome).map_err(|e| e.to_string())?;
+        outcomes.entry((task.scenario.name.clone(), task.variant.clone())).or_default().push(value);
     }
     let mut table = format!("| day | variant | {} |\n", experiment.metrics.join(" | "));
     let _ = writeln!(table, "|---|---|{}", "---|".repeat(experiment.metrics.len()));
-    for ((day, variant), values) in &figures {
+    for ((day, variant), values) in &outcomes {
         let cells = experiment.metrics.iter().map(|metric| {
-            let of: Vec<f64> = values.iter().filter_map(|v| figure(v, metric)).collect();
-            let e = bootstrap(&of, mean);
-            match of.len() {
+            let metric_values: Vec<f64> = values.iter().filter_map(|v| metric_value(v, metric)).collect();
+            let estimate = bootstrap(&metric_values, mean);
+            match metric_values.len() {
                 0 => "-".into(),
-                1 => format!("{:.3}", e.value),
-                _ => format!("{:.3} [{:.3}, {:.3}]", e.value, e.low, e.high),
+                1 => format!("{:.3}", estimate.value),
+                _ => format!("{:.3} [{:.3}, {:.3}]", estimate.value, estimate.low, estimate.high),
             }
         });
         let _ = writeln!(table, "| {day} | {variant} | {} |", cells.collect::<Vec<_>>().join(" | "));
     }
     let seeds = last - first + 1;
-    let head = format!("# {}\n\nMeans over {seeds} seeds with 95% bootstrap intervals.\n\n", experiment.name);
-    write(&out.join("table.md"), &(head.clone() + &table))?;
+    let heading =
+        format!("# {}\n\nMeans over {seeds} seeds with 95% bootstrap intervals.\n\n", experiment.name);
+    write_file(&out.join("table.md"), &(heading.clone() + &table))?;
     let metric = experiment.metrics.first().map_or("", String::as_str);
     let variants: Vec<&str> = experiment.variants.iter().map(|v| v.name.as_str()).collect();
-    write(&out.join("chart.svg"), &bars(&experiment.name, metric, &variants, &figures)?)?;
-    Ok(head + &table)
+    write_file(&out.join("chart.svg"), &comparison_chart(&experiment.name, metric, &variants, &outcomes)?)?;
+    Ok(heading + &table)
 }
 
-/// All results below a folder, by day and seed.
-fn results(folder: &Path) -> Result<BTreeMap<(String, u64), serde_json::Value>, String> {
+/// Loads all results below a folder, by scenario and seed.
+fn load_results(folder: &Path) -> Result<BTreeMap<(String, u64), serde_json::Value>, String> {
     let mut found = BTreeMap::new();
     let mut folders = vec![folder.to_path_buf()];
     while let Some(at) = folders.pop() {
@@ -186,30 +205,32 @@
         }
     }
     if found.is_empty() {
-        return Err(format!("{}: no result.json below it", folder.display()));
+        return Err(format!("{}: no result.json in this folder or below it", folder.display()));
     }
     Ok(found)
 }
 
-/// Compares two sets of results, paired by day and seed.
+/// Compares two folders of results, paired by scenario and seed.
 pub fn compare(a: &Path, b: &Path, metric: &str) -> Result<String, String> {
-    let (of_a, of_b) = (results(a)?, results(b)?);
+    let (of_a, of_b) = (load_results(a)?, load_results(b)?);
     let mut by_day: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
     for (key, value) in &of_a {
-        let pair = of_b.get(key).and_then(|other| Some((figure(value, metric)?, figure(other, metric)?)));
+        let pair = of_b
+            .get(key)
+            .and_then(|other| Some((metric_value(value, metric)?, metric_value(other, metric)?)));
         if let Some((x, y)) = pair {
             by_day.entry(&key.0).or_default().push(y - x);
         }
     }
     if by_day.is_empty() {
-        return Err(format!("no day and seed in common with a figure {metric}"));
+        return Err(format!("the two folders share no scenario and seed with a metric {metric}"));
     }
     let mut text = format!("{metric}: {} less {}, paired by day and seed\n", b.display(), a.display());
     let all: Vec<f64> = by_day.values().flatten().copied().collect();
     let rows = by_day.iter().map(|(day, d)| (*day, d)).chain((by_day.len() > 1).then_some(("all", &all)));
     for (day, differences) in rows {
-        let e = bootstrap(differences, mean);
-        let verdict = match (e.low > 0.0, e.high < 0.0, e.n) {
+        let estimate = bootstrap(differences, mean);
+        let verdict = match (estimate.low > 0.0, estimate.high < 0.0, estimate.n) {
             (_, _, 0..=2) => "too few pairs to tell",
             (true, ..) => "higher",
             (_, true, _) => "lower",
@@ -219,7 +240,7 @@
         let _ = writeln!(
             text,
             "{day:20} {:+.4} [{:+.4}, {:+.4}] from {} pairs, spread {spread:.3}: {verdict}",
-            e.value, e.low, e.high, e.n
+            estimate.value, estimate.low, estimate.high, estimate.n
         );
     }
     Ok(text)
--- a/crates/lab/src/trace.rs
+++ b/crates/lab/src/trace.rs
@@ -1,44 +1,47 @@
-//! One flow's whole story: every try, send, outcome and answer, with what the decision module was told
-//! and what it answered.
+//! The full trace of one flow: every try, attempt, outcome and answer, with the events that the decision module
+//! received and the actions that it returned.
 
-use crate::recorded::{Entry, Log};
+use crate::recording_decider::{TraceEntry, TraceLog};
 use crate::strategies::Strategy;
 use crate::virtual_time;
 use roseproxy_decision::interface::Micros;
-use roseproxy_emulator::day::Day;
-use roseproxy_emulator::plan::Plan;
+use roseproxy_emulator::scenario::Scenario;
+use roseproxy_emulator::schedule::Schedule;
 use std::fmt::Write;
 
-/// The world's time (ms) of a module's.
-fn world_time(at: Micros) -> f64 {
-    at as f64 / 1e3 - virtual_time::EPOCH
+/// Converts the time of a decision module to simulation time (ms).
+fn simulation_time_ms(at: Micros) -> f64 {
+    at as f64 / 1e3 - virtual_time::EPOCH_MS
 }
 
-/// Plays the day and tells the story of one flow.
-pub fn story(day: &Day, seed: u64, strategy: Strategy, flow: usize) -> Result<String, String> {
-    let plan = Plan::draw(day, seed);
-    let arrivals = plan.arrivals.len();
+/// Largest difference between a client's time of sending and the module's time of receiving a request.
+const REQUEST_TIME_TOLERANCE_MS: f64 = 1.5;
+
+/// Runs the scenario and returns the trace of one flow as text.
+pub fn trace_flow(scenario: &Scenario, seed: u64, strategy: Strategy, flow: usize) -> Result<String, String> {
+    let schedule = Schedule::draw(scenario, seed);
+    let arrivals = schedule.arrivals.len();
     if flow >= arrivals {
-        return Err(format!("--flow {flow}: the day has flows 0 to {}", arrivals.saturating_sub(1)));
+        return Err(format!("--flow {flow}: the scenario has flows 0 to {}", arrivals.saturating_sub(1)));
     }
-    let log = Log::default();
-    virtual_time::play(plan, strategy, Some(log.clone()), |world| {
-        let (plan, ledger) = (&world.plan, world.ledger.borrow());
-        let arrival = &plan.arrivals[flow];
+    let log = TraceLog::default();
+    virtual_time::run(schedule, strategy, Some(log.clone()), |simulation| {
+        let (schedule, accounting) = (&simulation.plan, simulation.ledger.borrow());
+        let arrival = &schedule.arrivals[flow];
         let mut text = String::new();
-        let begin = world.day_start();
+        let start_ms = simulation.day_start();
         let mut line = |at: f64, what: String| {
-            // Writing to a text cannot fail.
-            let _ = writeln!(text, "{:>12.3} ms  {what}", at - begin);
+            // Writing to a String cannot fail.
+            let _ = writeln!(text, "{:>12.3} ms  {what}", at - start_ms);
         };
         line(
-            world.day_at(arrival.at),
+            simulation.day_at(arrival.at),
             format!(
                 "flow {flow}: {} of {} at sidecar {} (zone {}), work {:.0} ms, key {:?}, worth {}{}",
-                plan.class(arrival).name,
-                plan.day.tenants[arrival.tenant].name,
+                schedule.class(arrival).name,
+                schedule.day.tenants[arrival.tenant].name,
                 arrival.sidecar,
-                plan.sidecars[arrival.sidecar].zone,
+                schedule.sidecars[arrival.sidecar].zone,
                 arrival.work,
                 arrival.key,
                 arrival.worth,
@@ -46,29 +49,37 @@
             ),
         );
         let mut entries: Vec<(f64, String)> = Vec::new();
-        for one in ledger.tries.iter().filter(|t| t.flow == flow) {
+        for request in accounting.tries.iter().filter(|t| t.flow == flow) {
             entries.push((
-                one.sent,
-                format!("try {} sent, id {:016x}, until {:.0}", one.number, one.id, one.until - begin),
+                request.sent,
+                format!(
+                    "try {} sent, id {:016x}, until {:.0}",
+                    request.number,
+                    request.id,
+                    request.until - start_ms
+                ),
             ));
-            for (number, a) in one.attempts.iter().enumerate() {
+            for (number, a) in request.attempts.iter().enumerate() {
                 let copy = if a.second_copy { ", a second copy" } else { "" };
                 entries.push((a.came, format!("  attempt {number} came to server {}{copy}", a.server)));
                 if let Some(ended) = a.ended {
                     entries.push((ended, format!("  attempt {number} at server {}: {:?}", a.server, a.end)));
                 }
             }
-            let regret = one.regret.map_or(String::new(), |r| format!("; at that moment: {r:?}"));
-            entries.push((one.ended, format!("try {} ended: {:?}{regret}", one.number, one.end)));
-            // The sidecar's own number of this request: the first it was told of at that moment.
+            let regret = request.regret.map_or(String::new(), |r| format!("; at that moment: {r:?}"));
+            entries.push((request.ended, format!("try {} ended: {:?}{regret}", request.number, request.end)));
+            // Finds the sidecar's own number of this request: the first request that its module received at the
+            // time of sending, with a tolerance of 1.5 ms.
             let log = log.borrow();
-            let (sent, sidecar) = (one.sent, arrival.sidecar);
-            let at_host = |e: &&Entry| {
-                e.1 == sidecar && e.3.starts_with("told: request") && (world_time(e.0) - sent).abs() < 1.5
+            let (sent, sidecar) = (request.sent, arrival.sidecar);
+            let is_this_request = |e: &&TraceEntry| {
+                e.1 == sidecar
+                    && e.3.starts_with("told: request")
+                    && (simulation_time_ms(e.0) - sent).abs() < REQUEST_TIME_TOLERANCE_MS
             };
-            if let Some((.., request, _)) = log.iter().find(at_host) {
-                for (at, .., what) in log.iter().filter(|e| e.1 == sidecar && e.2 == *request) {
-                    entries.push((world_time(*at), format!("    {what}")));
+            if let Some((.., request_number, _)) = log.iter().find(is_this_request) {
+                for (at, .., what) in log.iter().filter(|e| e.1 == sidecar && e.2 == *request_number) {
+                    entries.push((simulation_time_ms(*at), format!("    {what}")));
                 }
             }
         }
--- a/crates/lab/src/virtual_time.rs
+++ b/crates/lab/src/virtual_time.rs
@@ -1,19 +1,19 @@
-//! The driver in virtual time: whole sidecars over pipes in memory, under the runtime's paused clock.
+//! Runs a scenario in virtual time: whole sidecars over in-memory streams, under the runtime's paused clock.
 //!
-//! Every sidecar is the program itself from the listener down, in a task set of its own, so that a kill
-//! drops all of it at once. One thread, one clock, one order of wakes: equal days, seeds and builds give
-//! equal results to the byte.
+//! Every sidecar is the program itself from the listener down, in its own task set, so that a kill drops all
+//! of its tasks at once. One thread, one clock and one order of wake-ups make results reproducible: equal
+//! scenarios, seeds and builds give byte-identical results.
 
 use crate::in_process::{InProcess, MemoryNetwork};
-use crate::recorded::{Log, Recorded};
-use crate::strategies::{Strategy, Truth, Yardstick};
+use crate::recording_decider::{RecordingDecider, TraceLog};
+use crate::strategies::{BaselineDecider, Strategy, TrueServiceTime};
 use roseproxy::config::Config;
 use roseproxy::Clock;
 use roseproxy_decision::interface::{ServerId, Settings};
 use roseproxy_decision::policy::Balancer;
 use roseproxy_emulator::memory::Memory;
-use roseproxy_emulator::plan::Plan;
-use roseproxy_emulator::world::{Addresses, Sidecars, Signal, World};
+use roseproxy_emulator::schedule::Schedule;
+use roseproxy_emulator::simulation::{Addresses, Sidecars, Signal, Simulation};
 use roseproxy_platform::wire::tag;
 use roseproxy_routing::decide::Decider;
 use roseproxy_routing::time::to_micros;
@@ -23,34 +23,34 @@
 use std::rc::{Rc, Weak};
 use tokio::task::LocalSet;
 
-/// Unix time (ms) at which every virtual world begins.
-pub const EPOCH: f64 = 1_800_000_000_000.0;
-/// Descriptors that a program holds besides its streams: standard ones, the runtime's, the listener.
-const BESIDES: usize = 8;
+/// Unix time at which every simulation in virtual time begins.
+pub const EPOCH_MS: f64 = 1_800_000_000_000.0;
+/// Descriptors that a process holds in addition to its streams: standard streams, the runtime's, the listener.
+const BASE_DESCRIPTORS: usize = 8;
 
-/// Sidecars over pipes in memory.
+/// Sidecars over in-memory streams.
 struct MemorySidecars {
     memory: Memory,
     strategy: Strategy,
-    log: Option<Log>,
-    world: RefCell<Weak<World<Memory>>>,
+    log: Option<TraceLog>,
+    simulation: RefCell<Weak<Simulation<Memory>>>,
     in_process: InProcess,
-    held: RefCell<BTreeMap<usize, Rc<Cell<usize>>>>,
+    open_streams: RefCell<BTreeMap<usize, Rc<Cell<usize>>>>,
 }
 
 impl MemorySidecars {
     fn now(&self) -> f64 {
-        self.world.borrow().upgrade().map_or(0.0, |w| w.now())
+        self.simulation.borrow().upgrade().map_or(0.0, |w| w.now())
     }
 
-    fn truth(&self) -> Truth {
-        let world = self.world.borrow().clone();
+    fn true_service_time(&self) -> TrueServiceTime {
+        let simulation = self.simulation.borrow().clone();
         Rc::new(move |id: ServerId| {
-            let Some(world) = world.upgrade() else { return f64::INFINITY };
-            let members = world.members();
+            let Some(simulation) = simulation.upgrade() else { return f64::INFINITY };
+            let members = simulation.members();
             let member = members.iter().find(|m| tag(&m.model.borrow().plan.id) == id.0);
             let Some(member) = member.filter(|m| m.in_service()) else { return f64::INFINITY };
-            member.touch(world.now());
+            member.touch(simulation.now());
             let forecast = member.model.borrow().forecast(100.0);
             forecast
         })
@@ -60,11 +60,13 @@
         let decider: Box<dyn Decider> = match (self.strategy, &self.log) {
             (Strategy::Module, None) => return None,
             (Strategy::Module, Some(_)) => Box::new(Balancer::new(settings, seed, to_micros(now))),
-            (strategy, _) => Box::new(Yardstick::new(strategy, settings, seed, self.truth())),
+            (strategy, _) => {
+                Box::new(BaselineDecider::new(strategy, settings, seed, self.true_service_time()))
+            }
         };
         Some(match &self.log {
             None => decider,
-            Some(log) => Box::new(Recorded::new(number, decider, log.clone())),
+            Some(log) => Box::new(RecordingDecider::new(number, decider, log.clone())),
         })
     }
 }
@@ -72,11 +74,11 @@
 impl Sidecars for MemorySidecars {
     fn start(&self, number: usize, config: &Value) -> Result<(), String> {
         let parsed = Config::read(&config.to_string(), |_| None)?;
-        let clock = Clock::from(EPOCH + self.now());
+        let clock = Clock::from(EPOCH_MS + self.now());
         let decider = self.decider(number, parsed.settings, parsed.seed, clock.now());
-        let held = Rc::new(Cell::new(0));
-        let network = MemoryNetwork { memory: self.memory.clone(), held: held.clone() };
-        self.held.borrow_mut().insert(number, held);
+        let open_streams = Rc::new(Cell::new(0));
+        let network = MemoryNetwork { memory: self.memory.clone(), open_streams: open_streams.clone() };
+        self.open_streams.borrow_mut().insert(number, open_streams);
         self.in_process.start(number, config, network, clock, decider)
     }
 
@@ -89,17 +91,17 @@
     }
 
     fn holds(&self, number: usize) -> (Option<usize>, Option<f64>) {
-        let held = self.held.borrow();
-        (held.get(&number).map(|held| held.get() + BESIDES), None)
+        let open_streams = self.open_streams.borrow();
+        (open_streams.get(&number).map(|count| count.get() + BASE_DESCRIPTORS), None)
     }
 }
 
-/// Plays a draw of a day; `then` reads what it wants from the world before that ends.
-pub fn play<T>(
-    plan: Plan,
+/// Runs a schedule in virtual time; `then` reads the results from the simulation before it is dropped.
+pub fn run<T>(
+    schedule: Schedule,
     strategy: Strategy,
-    log: Option<Log>,
-    then: impl FnOnce(&World<Memory>) -> T,
+    log: Option<TraceLog>,
+    then: impl FnOnce(&Simulation<Memory>) -> T,
 ) -> Result<T, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
@@ -109,13 +111,14 @@
             memory: memory.clone(),
             strategy,
             log,
-            world: RefCell::default(),
+            simulation: RefCell::default(),
             in_process: InProcess::default(),
-            held: RefCell::default(),
+            open_streams: RefCell::default(),
         });
-        let world = World::new(memory, plan, Addresses { port: 7070 }, EPOCH, sidecars.clone());
-        *sidecars.world.borrow_mut() = Rc::downgrade(&world);
-        world.play().await?;
-        Ok(then(&world))
+        let simulation =
+            Simulation::new(memory, schedule, Addresses { port: 7070 }, EPOCH_MS, sidecars.clone());
+        *sidecars.simulation.borrow_mut() = Rc::downgrade(&simulation);
+        simulation.play().await?;
+        Ok(then(&simulation))
     })
 }
--- a/crates/lab/tests/lab.rs
+++ b/crates/lab/tests/lab.rs
@@ -1,4 +1,4 @@
-//! The laboratory as its users call it.
+//! Tests of the `roseproxy-lab` command line.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -25,21 +25,24 @@
     (folder, path)
 }
 
-/// A day that is short, so that the tests are.
-fn short(folder: &Path, more: &str) -> String {
+/// Writes a scenario of 6 s, so that the tests are fast.
+fn short_scenario(folder: &Path, more: &str) -> String {
     let file = folder.join("day.toml");
     std::fs::write(&file, format!("name = 'short'\nlength_s = 6\n{more}")).expect("written");
     file.display().to_string()
 }
 
 #[test]
-fn equal_seeds_give_equal_bytes_and_another_gives_others() {
+fn equal_seeds_give_equal_bytes_and_different_seeds_differ() {
     let (folder, out) = folder();
-    let day = short(folder.path(), "[[trouble]]\nkind = 'zone-loss'\nat_s = 1\nlen_s = 2\nsidecars = true\n");
+    let scenario = short_scenario(
+        folder.path(),
+        "[[trouble]]\nkind = 'zone-loss'\nat_s = 1\nlen_s = 2\nsidecars = true\n",
+    );
     let result = |seed: &str, name: &str| {
         let out = format!("{out}/{name}");
-        let done = lab(&["run", &day, "--seed", seed, "--out", &out]);
-        assert!(done.status.success(), "{}{}", text(&done.stdout), text(&done.stderr));
+        let output = lab(&["run", &scenario, "--seed", seed, "--out", &out]);
+        assert!(output.status.success(), "{}{}", text(&output.stdout), text(&output.stderr));
         let read = |file: &str| std::fs::read_to_string(format!("{out}/{file}")).expect(file);
         (read("result.json"), read("series.csv"))
     };
@@ -57,44 +60,45 @@
 }
 
 #[test]
-fn faulty_files_end_with_2_and_name_the_fault() {
+fn invalid_files_exit_with_2_and_name_the_fault() {
     let (folder, out) = folder();
-    let day = short(folder.path(), "[load]\nof_capcity = 0.3\n");
-    let done = lab(&["run", &day, "--out", &out]);
-    assert_eq!(done.status.code(), Some(2));
-    assert!(text(&done.stderr).contains("of_capcity"), "{}", text(&done.stderr));
+    let scenario = short_scenario(folder.path(), "[load]\nof_capcity = 0.3\n");
+    let output = lab(&["run", &scenario, "--out", &out]);
+    assert_eq!(output.status.code(), Some(2));
+    assert!(text(&output.stderr).contains("of_capcity"), "{}", text(&output.stderr));
     assert_eq!(lab(&["run", "no-such-day.toml", "--out", &out]).status.code(), Some(2));
     assert_eq!(lab(&["compare", &out, &out]).status.code(), Some(2));
 }
 
 #[test]
-fn a_broken_rule_ends_with_1() {
+fn a_broken_rule_exits_with_1() {
     let (folder, out) = folder();
-    // A yardstick knows nothing of cold servers, and pushes them over.
+    // A baseline strategy does not know about cold servers and overloads them.
     let more = "seed = 3\n[fleet]\nservers = 4\nsidecars = 2\n[load]\nof_capacity = 0.9\n[[trouble]]\nkind = 'servers-restart'\nat_s = 1\n";
-    let day = short(folder.path(), more);
-    let done = lab(&["run", &day, "--strategy", "prequal", "--out", &out]);
-    assert_eq!(done.status.code(), Some(1), "{}", text(&done.stdout));
-    assert!(text(&done.stdout).contains("BROKEN PushedOver"), "{}", text(&done.stdout));
+    let scenario = short_scenario(folder.path(), more);
+    let output = lab(&["run", &scenario, "--strategy", "prequal", "--out", &out]);
+    assert_eq!(output.status.code(), Some(1), "{}", text(&output.stdout));
+    assert!(text(&output.stdout).contains("BROKEN PushedOver"), "{}", text(&output.stdout));
 }
 
 #[test]
-fn days_that_a_swarm_has_found_stay_fixed() {
+fn scenarios_found_by_a_swarm_break_no_rule_any_more() {
     for entry in std::fs::read_dir(root().join("lab/found")).expect("the folder").flatten() {
         let (_folder, out) = folder();
-        let done = lab(&["run", &entry.path().display().to_string(), "--out", &out]);
-        assert!(done.status.success(), "{}: {}", entry.path().display(), text(&done.stdout));
+        let output = lab(&["run", &entry.path().display().to_string(), "--out", &out]);
+        assert!(output.status.success(), "{}: {}", entry.path().display(), text(&output.stdout));
     }
 }
 
-/// Servers that go silent and come back cold, slow ones, killed and restarted sidecars, a drain: no keyed write
-/// runs again where no server would drop it, and every flow is answered.
+/// Guards against repeated keyed writes and unanswered flows when faults overlap: servers that go silent and come
+/// back cold, slow servers, killed and restarted sidecars, and a drain. A keyed write must not run again on a
+/// server that cannot recognize it as a repeat.
 #[test]
-fn keyed_work_is_done_once_through_overlapping_faults() {
+fn keyed_requests_run_once_during_overlapping_faults() {
     let (_folder, out) = folder();
     for seed in ["1", "4"] {
-        let done = lab(&["run", "lab/days/keyed-faults.toml", "--seed", seed, "--out", &out]);
-        assert!(done.status.success(), "{}", text(&done.stdout));
+        let output = lab(&["run", "lab/days/keyed-faults.toml", "--seed", seed, "--out", &out]);
+        assert!(output.status.success(), "{}", text(&output.stdout));
         let result = std::fs::read_to_string(format!("{out}/result.json")).expect("a result");
         let value: serde_json::Value = serde_json::from_str(&result).expect("JSON");
         assert!(value["flows"]["taken"].as_u64() > Some(3000), "{}", value["flows"]);
@@ -102,9 +106,9 @@
 }
 
 #[test]
-fn claims_are_held_against_their_bounds() {
+fn claims_are_checked_against_their_bounds() {
     let folder = tempfile::tempdir().expect("a folder");
-    short(folder.path(), "");
+    short_scenario(folder.path(), "");
     let file = folder.path().join("claims.toml");
     let claims = |bound: f64| {
         let text = format!(
@@ -114,23 +118,23 @@
         std::fs::write(&file, text).expect("written");
         lab(&["claims", &file.display().to_string(), "--seeds", "1..2"])
     };
-    let kept = claims(0.5);
-    assert!(kept.status.success() && text(&kept.stdout).contains("of 2 |"), "{}", text(&kept.stdout));
-    let broken = claims(1.1);
-    assert_eq!(broken.status.code(), Some(1));
-    assert!(text(&broken.stdout).contains("| NO |"), "{}", text(&broken.stdout));
+    let met = claims(0.5);
+    assert!(met.status.success() && text(&met.stdout).contains("of 2 |"), "{}", text(&met.stdout));
+    let unmet = claims(1.1);
+    assert_eq!(unmet.status.code(), Some(1));
+    assert!(text(&unmet.stdout).contains("| NO |"), "{}", text(&unmet.stdout));
 }
 
 #[test]
-fn a_sweep_keeps_its_table_and_two_variants_compare() {
+fn a_sweep_writes_its_table_and_two_variants_compare() {
     let (folder, out) = folder();
-    short(folder.path(), "");
+    short_scenario(folder.path(), "");
     let file = folder.path().join("sweep.toml");
     let text_of = "name = 'two loads'\ndays = ['day.toml']\nseeds = [1, 3]\n[[variant]]\nname = 'low'\n\
                    [[variant]]\nname = 'high'\nset = { 'load.of_capacity' = 1.6 }\n";
     std::fs::write(&file, text_of).expect("written");
-    let done = lab(&["sweep", &file.display().to_string(), "--out", &out]);
-    assert!(done.status.success(), "{}", text(&done.stderr));
+    let output = lab(&["sweep", &file.display().to_string(), "--out", &out]);
+    assert!(output.status.success(), "{}", text(&output.stderr));
     assert!(std::fs::read_to_string(format!("{out}/table.md"))
         .expect("the table")
         .contains("| short | high |"));
@@ -141,13 +145,13 @@
 }
 
 #[test]
-fn a_flow_has_its_story() {
+fn trace_prints_every_step_of_a_flow() {
     let folder = tempfile::tempdir().expect("a folder");
-    let day = short(folder.path(), "");
-    let told = lab(&["trace", &day, "--flow", "40"]);
-    let story = text(&told.stdout);
+    let scenario = short_scenario(folder.path(), "");
+    let output = lab(&["trace", &scenario, "--flow", "40"]);
+    let trace = text(&output.stdout);
     for part in ["flow 40:", "try 0 sent", "told: request", "drawn: send to", "came to server", "ended:"] {
-        assert!(story.contains(part), "{part} in {story}");
+        assert!(trace.contains(part), "{part} in {trace}");
     }
-    assert_eq!(lab(&["trace", &day, "--flow", "999999"]).status.code(), Some(2));
+    assert_eq!(lab(&["trace", &scenario, "--flow", "999999"]).status.code(), Some(2));
 }
