--- a/crates/lab/src/recording_decider.rs
+++ b/crates/lab/src/recording_decider.rs
@@ -1,7 +1,7 @@
 //! Records the request events that decision modules receive and the actions that they return.
 
 use roseproxy_decision::interface::{Action, Event, Micros};
-use roseproxy_decision::picture::Picture;
+use roseproxy_decision::snapshot::Snapshot;
 use roseproxy_routing::decide::Decider;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -34,11 +34,15 @@
 impl Decider for RecordingDecider {
     fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match &event {
-            Event::Request(r) => {
-                let text = format!("told: request of class {} with {} ms left", r.class, r.time_left / 1000);
-                self.record(now, r.id, text);
+            Event::Request(request) => {
+                let text = format!(
+                    "told: request of class {} with {} ms left",
+                    request.class,
+                    request.time_left / 1000
+                );
+                self.record(now, request.id, text);
             }
-            Event::Ended { request, attempt, server, outcome, elapsed, .. } => {
+            Event::AttemptEnded { request, attempt, server, outcome, elapsed, .. } => {
                 let text = format!(
                     "told: attempt {attempt} at {:016x} {outcome:?} after {} ms",
                     server.0,
@@ -46,12 +50,12 @@
                 );
                 self.record(now, *request, text);
             }
-            Event::Expired { request } => self.record(now, *request, "told: its client has left".into()),
+            Event::ClientLeft { request } => self.record(now, *request, "told: its client has left".into()),
             _ => {}
         }
         let before = out.len();
         self.inner.handle(now, event, out);
-        let p = self.inner.picture();
+        let snapshot = self.inner.picture();
         for action in &out[before..] {
             let (request, text) = match action {
                 Action::Send { request, server, timeout } => {
@@ -68,13 +72,17 @@
             };
             let text = format!(
                 "{text} (picture: {} ready, {} aside, load {:.1}, late {:.2}, spread {:.2})",
-                p.ready, p.set_aside, p.load, p.lateness, p.spread
+                snapshot.ready,
+                snapshot.set_aside,
+                snapshot.mean_load,
+                snapshot.late_share,
+                snapshot.forecast_error
             );
             self.record(now, request, text);
         }
     }
 
-    fn picture(&self) -> Picture {
+    fn picture(&self) -> Snapshot {
         self.inner.picture()
     }
 }
--- a/crates/lab/src/stats.rs
+++ b/crates/lab/src/stats.rs
@@ -81,9 +81,9 @@
     #[test]
     fn intervals_contain_the_mean_and_are_infinite_for_one_value() {
         let values: Vec<f64> = (0..30).map(|n| f64::from(n % 7)).collect();
-        let e = bootstrap(&values, mean);
-        assert!(e.low < e.value && e.value < e.high, "{e:?}");
-        assert_eq!(bootstrap(&values, mean), e, "equal values must give an equal interval");
+        let estimate = bootstrap(&values, mean);
+        assert!(estimate.low < estimate.value && estimate.value < estimate.high, "{estimate:?}");
+        assert_eq!(bootstrap(&values, mean), estimate, "equal values must give an equal interval");
         assert!(bootstrap(&[1.0], mean).low.is_infinite(), "one value has no confidence interval");
     }
 
--- a/crates/lab/src/strategies.rs
+++ b/crates/lab/src/strategies.rs
@@ -236,7 +236,7 @@
                 {
                     let after =
                         (SUBSCRIBE_JITTER_US * self.rng.random::<f64>()) as Micros + MIN_SUBSCRIBE_DELAY_US;
-                    out.push(Action::Timer { token: SUBSCRIBE_TIMER_TOKEN, after });
+                    out.push(Action::SetTimer { token: SUBSCRIBE_TIMER_TOKEN, after });
                 }
             }
             Event::Request(request) => {
@@ -257,7 +257,7 @@
                 self.requests.insert(request.id, open_request);
                 self.send_attempt(request.id, out);
             }
-            Event::Ended { request, server, outcome, elapsed, finished, .. } => {
+            Event::AttemptEnded { request, server, outcome, elapsed, finished, .. } => {
                 if let Some(server_state) = self.servers.get_mut(&server) {
                     server_state.open_requests -= 1;
                     if outcome == Outcome::Served {
@@ -282,17 +282,17 @@
                     self.give_up(request, out);
                 }
             }
-            Event::Expired { request } => drop(self.requests.remove(&request)),
+            Event::ClientLeft { request } => drop(self.requests.remove(&request)),
             Event::Timer { token: SUBSCRIBE_TIMER_TOKEN } => out.push(Action::Subscribe),
-            Event::Probed { server, load, .. } => {
-                if let Some(inflight) = load.and_then(|l| l.held) {
+            Event::ProbeEnded { server, load, .. } => {
+                if let Some(inflight) = load.and_then(|l| l.in_flight) {
                     if self.probes.len() >= PREQUAL_POOL_SIZE {
                         self.probes.remove(0);
                     }
                     self.probes.push(Probe { server, inflight, at: now });
                 }
             }
-            Event::Opened { .. } | Event::Timer { .. } => {}
+            Event::StreamStarted { .. } | Event::Timer { .. } => {}
         }
     }
 }
--- a/crates/lab/tests/discovery_return.rs
+++ b/crates/lab/tests/discovery_return.rs
@@ -132,9 +132,9 @@
 impl Fleet {
     fn new(outage: Outage) -> Fleet {
         let settings = Settings {
-            balancers: outage.configured_size,
+            sidecars: outage.configured_size,
             must_subscribe: true,
-            ask_within: MUST_ASK_IN_US,
+            max_poll_interval: MUST_ASK_IN_US,
             ..Settings::default()
         };
         let host = |number| Host::new(settings.clone(), number as u64, 0.0);
