--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -198,11 +198,13 @@
 pub fn html_page(completed: &CompletedRun) -> Result<String, String> {
     let outcome = &completed.outcome;
     let parts = |parts: &BTreeMap<String, roseproxy_emulator::result::Part>| -> Vec<Vec<String>> {
-        let row = |(name, p): (&String, &roseproxy_emulator::result::Part)| {
-            let f = &p.flows;
-            let mut row = vec![name.clone(), format!("{:.3}", p.service)];
-            row.extend([f.asked, f.served, f.late, f.refused, f.failed].map(|n| n.to_string()));
-            row.extend([p.latency.p50, p.latency.p99].map(|n| format!("{n:.0}")));
+        let row = |(name, part): (&String, &roseproxy_emulator::result::Part)| {
+            let flows = &part.flows;
+            let mut row = vec![name.clone(), format!("{:.3}", part.service)];
+            row.extend(
+                [flows.asked, flows.served, flows.late, flows.refused, flows.failed].map(|n| n.to_string()),
+            );
+            row.extend([part.latency.p50, part.latency.p99].map(|n| format!("{n:.0}")));
             row
         };
         parts.iter().map(row).collect()
@@ -294,23 +296,23 @@
             .build_cartesian_2d(0.0..group_width * days.len() as f64, 0.0..top.max(1e-6))?;
         let labels = days.clone();
         chart.configure_mesh().disable_x_mesh().x_labels(0).y_desc(metric).label_style(LABEL_FONT).draw()?;
-        for (d, day) in labels.iter().enumerate() {
-            let at = (d as f64 * group_width + 0.3, -top * 0.02);
+        for (group, day) in labels.iter().enumerate() {
+            let at = (group as f64 * group_width + 0.3, -top * 0.02);
             chart.draw_series([Text::new((*day).clone(), at, (FONT_FAMILY, 12))])?;
         }
-        for (v, variant) in variants.iter().enumerate() {
-            let colour = series_colour(v);
-            let bars = days.iter().enumerate().filter_map(|(d, day)| {
-                let e = estimates.get(&(day.as_str(), *variant))?;
-                let x = d as f64 * group_width + v as f64 + 0.5;
-                Some(Rectangle::new([(x, 0.0), (x + 0.9, e.value)], colour.filled()))
+        for (bar, variant) in variants.iter().enumerate() {
+            let colour = series_colour(bar);
+            let bars = days.iter().enumerate().filter_map(|(group, day)| {
+                let estimate = estimates.get(&(day.as_str(), *variant))?;
+                let x = group as f64 * group_width + bar as f64 + 0.5;
+                Some(Rectangle::new([(x, 0.0), (x + 0.9, estimate.value)], colour.filled()))
             });
             let drawn = chart.draw_series(bars)?.label(*variant);
             drawn.legend(move |(x, y)| Rectangle::new([(x, y - 5), (x + 12, y + 5)], colour.filled()));
-            let whiskers = days.iter().enumerate().filter_map(|(d, day)| {
-                let e = estimates.get(&(day.as_str(), *variant))?;
-                let x = d as f64 * group_width + v as f64 + 0.95;
-                let (low, high) = (e.low.max(0.0), e.high.min(top));
+            let whiskers = days.iter().enumerate().filter_map(|(group, day)| {
+                let estimate = estimates.get(&(day.as_str(), *variant))?;
+                let x = group as f64 * group_width + bar as f64 + 0.95;
+                let (low, high) = (estimate.low.max(0.0), estimate.high.min(top));
                 Some(PathElement::new([(x, low), (x, high)], BLACK))
             });
             chart.draw_series(whiskers)?;
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -80,15 +80,24 @@
         let _ = write!(text, ",held_{server}");
     }
     text.push('\n');
-    for s in series {
-        let f = &s.fleet;
+    for second in series {
+        let fleet = &second.fleet;
         let _ = write!(
             text,
             "{},{},{},{},{},{},{},{},{},{}",
-            s.second, s.worth, s.served, s.tries, s.refused, s.p50, s.p99, f.slow, f.capacity, f.idle
+            second.second,
+            second.worth,
+            second.served,
+            second.tries,
+            second.refused,
+            second.p50,
+            second.p99,
+            fleet.slow,
+            fleet.capacity,
+            fleet.idle
         );
         for server in 0..servers {
-            let _ = write!(text, ",{}", f.held.get(server).copied().unwrap_or(-1.0));
+            let _ = write!(text, ",{}", fleet.held.get(server).copied().unwrap_or(-1.0));
         }
         text.push('\n');
     }
