--- a/crates/lab/src/recorded.rs
+++ b/crates/lab/src/recording_decider.rs
@@ -1,4 +1,4 @@
-//! What decision modules were told and answered, written down for later.
+//! Records the request events that decision modules receive and the actions that they return.
 
 use roseproxy_decision::interface::{Action, Event, Micros};
 use roseproxy_decision::snapshot::Snapshot;
@@ -6,37 +6,41 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// One thing that a module was told or answered: when (microseconds), at which sidecar, about which
-/// request of that sidecar's, in words.
-pub type Entry = (Micros, usize, u64, String);
+/// One recorded event or action: time (microseconds), number of the sidecar, request number within that
+/// sidecar, and description.
+pub type TraceEntry = (Micros, usize, u64, String);
 
-/// What the modules of a day were told and answered.
-pub type Log = Rc<RefCell<Vec<Entry>>>;
+/// The recorded events and actions of all decision modules of a run.
+pub type TraceLog = Rc<RefCell<Vec<TraceEntry>>>;
 
-/// A decider that writes down all that concerns requests.
-pub struct Recorded {
+/// A decider that forwards to another one and records every event and action about requests.
+pub struct RecordingDecider {
     sidecar: usize,
     inner: Box<dyn Decider>,
-    log: Log,
+    log: TraceLog,
 }
 
-impl Recorded {
-    /// Records what passes to and from a decider, under the number of its sidecar.
-    pub fn new(sidecar: usize, inner: Box<dyn Decider>, log: Log) -> Recorded {
-        Recorded { sidecar, inner, log }
+impl RecordingDecider {
+    /// Wraps the decider of a sidecar.
+    pub fn new(sidecar: usize, inner: Box<dyn Decider>, log: TraceLog) -> RecordingDecider {
+        RecordingDecider { sidecar, inner, log }
     }
 
-    fn note(&self, now: Micros, request: u64, text: String) {
+    fn record(&self, now: Micros, request: u64, text: String) {
         self.log.borrow_mut().push((now, self.sidecar, request, text));
     }
 }
 
-impl Decider for Recorded {
+impl Decider for RecordingDecider {
     fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match &event {
-            Event::Request(r) => {
-                let text = format!("told: request of class {} with {} ms left", r.class, r.time_left / 1000);
-                self.note(now, r.id, text);
+            Event::Request(request) => {
+                let text = format!(
+                    "told: request of class {} with {} ms left",
+                    request.class,
+                    request.time_left / 1000
+                );
+                self.record(now, request.id, text);
             }
             Event::AttemptEnded { request, attempt, server, outcome, elapsed, .. } => {
                 let text = format!(
@@ -44,14 +48,14 @@
                     server.0,
                     elapsed / 1000
                 );
-                self.note(now, *request, text);
+                self.record(now, *request, text);
             }
-            Event::ClientLeft { request } => self.note(now, *request, "told: its client has left".into()),
+            Event::ClientLeft { request } => self.record(now, *request, "told: its client has left".into()),
             _ => {}
         }
         let before = out.len();
         self.inner.handle(now, event, out);
-        let p = self.inner.picture();
+        let snapshot = self.inner.picture();
         for action in &out[before..] {
             let (request, text) = match action {
                 Action::Send { request, server, timeout } => {
@@ -68,9 +72,13 @@
             };
             let text = format!(
                 "{text} (picture: {} ready, {} aside, load {:.1}, late {:.2}, spread {:.2})",
-                p.ready, p.set_aside, p.mean_load, p.late_share, p.forecast_error
+                snapshot.ready,
+                snapshot.set_aside,
+                snapshot.mean_load,
+                snapshot.late_share,
+                snapshot.forecast_error
             );
-            self.note(now, request, text);
+            self.record(now, request, text);
         }
     }
 
