--- a/crates/decision/src/affinity.rs
+++ b/crates/decision/src/affinity.rs
@@ -11,15 +11,15 @@
     pub(crate) fn home_of(&mut self, key: Option<u64>) -> Option<usize> {
         let key = key.filter(|_| self.settings.warm_keys)?;
         self.refresh_home_candidates();
-        let (sight, bound) = (self.visible_share(), self.home_capacity_factor());
-        let draw = if sight < 1.0 { self.uniform() } else { 0.0 };
-        let fleet = Candidates {
+        let (visibility, bound) = (self.visibility(), self.home_capacity_factor());
+        let draw = if visibility < 1.0 { self.uniform() } else { 0.0 };
+        let candidates = Candidates {
             servers: &self.home_candidates,
             generation: self.home_candidates_generation,
-            visibility: sight,
+            visibility,
             load_bound: bound,
         };
-        let home = self.homes.choose_home(key, fleet, self.now, draw)?;
+        let home = self.homes.choose_home(key, candidates, self.now, draw)?;
         self.slot_by_id.get(&ServerId(home)).copied()
     }
 
@@ -33,7 +33,7 @@
     /// are computed from the same figures.
     fn refresh_home_candidates(&mut self) {
         let current = self.share_table_at.is_some() && self.home_candidates_at == self.share_table_at;
-        if current && self.visible_share() < 1.0 {
+        if current && self.visibility() < 1.0 {
             return;
         }
         self.home_candidates_at = self.share_table_at;
@@ -61,15 +61,15 @@
 
     fn home_candidate(&self, slot: usize, total_speed: f64) -> HomeCandidate {
         let (server, warmth) = (&self.servers[slot], self.warmth(slot));
-        // A cold server must not take over what warm servers lose while they are slow or set aside.
-        let most = match warmth < 1.0 {
+        // A cold server must not take over what warm servers lose while they are slow or ejected.
+        let max_share = match warmth < 1.0 {
             true => {
                 (self.home_capacity_factor() * server.speed / total_speed).min(self.slow_start_share(slot))
             }
             false => f64::INFINITY,
         };
         let weight = server.info.power * warmth;
-        HomeCandidate { id: server.info.id.0, weight, capacity: server.capacity, max_share: most }
+        HomeCandidate { id: server.info.id.0, weight, capacity: server.capacity, max_share }
     }
 
     /// Whether the water-fill would give a home all requests for its key: with all of them it is still less
@@ -77,7 +77,7 @@
     /// that a large fleet need not be visited again; in a small fleet the water-fill is computed instead.
     pub(crate) fn takes_whole_key(&self, home: usize) -> bool {
         let server = &self.servers[home];
-        if self.visible_share() >= 1.0 || !server.usable() {
+        if self.visibility() >= 1.0 || !server.usable() {
             return false;
         }
         let fullness = self.fullness(self.requests_per_server_during(self.response_time));
--- a/crates/decision/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -111,9 +111,10 @@
     pub prices: Prices,
     /// Weight of the worst-served class in the score, 0 to 1.
     pub worst_class_weight: f64,
-    /// Whether the server list has to be requested from discovery.
+    /// Whether the server list has to be requested from discovery, by opening a watch; otherwise lists are
+    /// pushed.
     pub must_subscribe: bool,
-    /// Longest time between two calls to discovery while there is no subscription.
+    /// Longest time between two calls to discovery while no watch is open.
     pub max_poll_interval: Micros,
     /// Whether probes are allowed.
     pub probes: bool,
@@ -121,7 +122,7 @@
     pub inline_reports: bool,
     /// Whether an attempt may be cancelled.
     pub cancel: bool,
-    /// Whether a request may have two attempts in flight at once.
+    /// Whether a request may have a second copy: another attempt while an earlier one is in flight.
     pub second_copies: bool,
     /// Maximum number of attempts for one request.
     pub max_attempts: usize,
@@ -222,9 +223,9 @@
     Complete,
     /// Changed entries only.
     Changes,
-    /// A call failed or the subscription broke; the current list stays.
+    /// A call failed or the watch ended; the current list stays.
     Failed,
-    /// The subscription fell silent and the host calls again at once; the current list stays.
+    /// The watch fell silent and the host calls again at once; the current list stays.
     Reopened,
 }
 
@@ -405,6 +406,6 @@
         /// The server.
         server: ServerId,
     },
-    /// Subscribe to changes of the server list.
+    /// Call discovery and open a watch on the server list.
     Subscribe,
 }
--- a/crates/decision/src/learn.rs
+++ b/crates/decision/src/learn.rs
@@ -106,7 +106,7 @@
         // High load takes longer to drain, and a sidecar that sees a smaller share hears of that later.
         let lifetime = 8.0
             * self.response_time
-            * (1.0 + (1.0 - self.visible_share()) * server.reported_load / server.capacity.max(0.1));
+            * (1.0 + (1.0 - self.visibility()) * server.reported_load / server.capacity.max(0.1));
         mean + (server.reported_load - mean) * if server.load_is_guess { 1.0 } else { self.report_trust }
             / (1.0 + age / lifetime)
     }
@@ -182,7 +182,7 @@
     /// On the Mandal catalogue (big-1) an overloaded server kept its whole share while its report was old,
     /// because only the answers that it did give were counted.
     #[test]
-    fn missing_answers_reduce_a_server_share_before_it_is_set_aside() {
+    fn missing_answers_reduce_a_server_share_before_it_is_ejected() {
         let (mut balancer, mut got) = (one_of_four_sidecars(), [0; 4]);
         // After two seconds server 1 answers only every second request, so it is never silent for long.
         send_requests(&mut balancer, 800, |_, slot, id| {
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -3,7 +3,8 @@
 //! Each sidecar hosts one [`policy::Balancer`]. It is a state machine without I/O or a clock: the host
 //! passes it [`interface::Event`]s with the time at which they happened and carries out the
 //! [`interface::Action`]s that it returns. Servers are drawn at random in proportion to shares, which a
-//! water-fill computes from delayed load reports; `docs/design.md` names the source and the changes to it.
+//! water-fill ([`policy::water_fill`]) computes from delayed load reports so that the emptiest servers get
+//! the most; `docs/design.md` names the source and the changes to it.
 //! The crate depends on `roseproxy-fleet` for the rules that take the number of sidecars into account.
 //! Begin with `interface.rs`, then read `policy.rs`, which holds the decisions; `state.rs` holds the data.
 //!
--- a/crates/decision/src/policy.rs
+++ b/crates/decision/src/policy.rs
@@ -29,11 +29,11 @@
 const REPORT_LIFETIME_AGES: f64 = 4.0;
 /// Weight of one outcome in a server's failure score.
 const FAILURE_SCORE_GAIN: f64 = 0.3;
-/// First time that a suspect server rests before its trial.
-const FIRST_REST_US: Micros = 300_000;
-/// Longest time that a suspect server rests before its trial.
-const LONGEST_REST_US: Micros = 5_000_000;
-/// Repeats and second copies that each request earns.
+/// Duration of a server's first ejection, at a visibility of 1.
+const FIRST_EJECTION_TIME_US: Micros = 300_000;
+/// Longest duration of an ejection, before jitter.
+const MAX_EJECTION_TIME_US: Micros = 5_000_000;
+/// Repeats that each request earns: further attempts after one has ended, or second copies beside one.
 const REPEATS_EARNED_PER_REQUEST: f64 = 0.15;
 /// Repeats that can be saved up: a server's connections are reset together.
 const MAX_SAVED_REPEATS: f64 = 5.0;
@@ -55,7 +55,7 @@
 const MAX_OVER_QUOTA_MARGIN: f64 = 6.0;
 /// Reported load per unit of stated power above which a time-out indicates a full fleet.
 const BUSY_LOAD_PER_POWER: f64 = 0.5;
-/// Time after which an unreachable server counts as lost.
+/// Time after which an unreachable server counts as lost: it then counts as cold once it is reachable again.
 const LOST_AFTER_US: Micros = 500_000;
 /// Share of the capacity that must have room, so that one full server causes no refusals.
 const MIN_CAPACITY_SHARE_WITH_ROOM: f64 = 0.85;
@@ -160,7 +160,7 @@
     // ---- health of servers
 
     fn learn_from_outcome(&mut self, slot: usize, outcome: Outcome, load: Option<Load>, probe: bool) {
-        let (now, created_at, sight) = (self.now, self.created_at, self.visible_share());
+        let (now, created_at, visibility) = (self.now, self.created_at, self.visibility());
         let server = &mut self.servers[slot];
         let mean = self.mean_load * server.capacity;
         if let Some(load) = load.and_then(|l| l.in_flight.or(l.waiting)).filter(|l| (0.0..1e6).contains(l)) {
@@ -194,27 +194,31 @@
         match (probe, bad > 0.0) {
             // A fast error or rejection must not look like an empty queue.
             (_, true) => server.reported_load = server.reported_load.max(mean),
-            (false, false) => server.next_rest = FIRST_REST_US,
-            // The trial is passed: the server gets requests again, but the next bad outcome sets it aside.
+            (false, false) => server.next_ejection_time = FIRST_EJECTION_TIME_US,
+            // The recovery check succeeded: the server is used again, but the next bad outcome ejects it.
             (true, false) => server.failure_score = server.failure_score.min(FAILURE_SCORE_GAIN),
         }
-        let gain =
-            if bad > 0.0 { ejection::outcome_weight(FAILURE_SCORE_GAIN, sight) } else { FAILURE_SCORE_GAIN };
+        let gain = if bad > 0.0 {
+            ejection::outcome_weight(FAILURE_SCORE_GAIN, visibility)
+        } else {
+            FAILURE_SCORE_GAIN
+        };
         server.failure_score += (bad - server.failure_score) * gain;
-        if server.failure_score >= SUSPECT_SCORE && server.rest_until <= now {
-            self.set_aside(slot);
+        if server.failure_score >= SUSPECT_SCORE && server.ejected_until <= now {
+            self.eject(slot);
         }
     }
 
-    /// Sets a suspect server aside for a jittered rest, and doubles the next one.
-    pub(crate) fn set_aside(&mut self, slot: usize) {
+    /// Ejects a server for a jittered time, and doubles the time of its next ejection.
+    pub(crate) fn eject(&mut self, slot: usize) {
         let jitter = 0.5 + self.uniform();
-        let first = ejection::first_ejection_time(FIRST_REST_US, LONGEST_REST_US, self.visible_share());
+        let first =
+            ejection::first_ejection_time(FIRST_EJECTION_TIME_US, MAX_EJECTION_TIME_US, self.visibility());
         let server = &mut self.servers[slot];
         server.failure_score = server.failure_score.max(SUSPECT_SCORE);
-        server.next_rest = server.next_rest.clamp(first, LONGEST_REST_US);
-        server.rest_until = self.now + (server.next_rest as f64 * jitter) as Micros;
-        server.next_rest *= 2;
+        server.next_ejection_time = server.next_ejection_time.clamp(first, MAX_EJECTION_TIME_US);
+        server.ejected_until = self.now + (server.next_ejection_time as f64 * jitter) as Micros;
+        server.next_ejection_time *= 2;
         self.share_table_at = None;
     }
 
@@ -257,9 +261,10 @@
             let load =
                 self.effective_load(slot) + 2.0 + if self.in_other_zone(slot) { crossing_cost } else { 0.0 }
                     - discount;
-            // Without probes, a trial is one real request at a time.
-            let trial = !self.settings.probes && server.rest_until <= self.now && server.in_flight == 0;
-            let usable = server.ready() && (server.failure_score < SUSPECT_SCORE || trial);
+            // Without probes, the recovery check is one real request at a time.
+            let recovery_check =
+                !self.settings.probes && server.ejected_until <= self.now && server.in_flight == 0;
+            let usable = server.ready() && (server.failure_score < SUSPECT_SCORE || recovery_check);
             let (capacity, max_share) = (
                 server.capacity * (1.0 - server.failure_score.min(SUSPECT_SCORE)),
                 f64::from(u8::from(usable)),
@@ -277,8 +282,8 @@
             if none_left {
                 candidate.max_share = f64::from(u8::from(self.servers[slot].ready()));
             }
-            // In a large fleet `fleet::key_homes` limits what a home gets, which is a part of each of its keys.
-            let limited_as_home = home == Some(slot) && self.visible_share() < 1.0;
+            // In a large fleet `fleet::key_homes` limits what a home gets, a part of each of its keys.
+            let limited_as_home = home == Some(slot) && self.visibility() < 1.0;
             if self.warmth(slot) < 1.0 && !limited_as_home {
                 // All sidecars do the same, and a cold server is overloaded when all send it too much.
                 let part =
@@ -319,7 +324,7 @@
         };
         self.requests.insert(id, pending);
         // In a small fleet a key has one home, however popular it is.
-        if let Some(key) = key.filter(|_| self.settings.warm_keys && self.visible_share() < 1.0) {
+        if let Some(key) = key.filter(|_| self.settings.warm_keys && self.visibility() < 1.0) {
             self.homes.record_request(key);
         }
         self.refresh_share_table();
@@ -349,11 +354,11 @@
         }
         let (now, n) = (self.now, self.servers.len());
         let can_probe = |s: &ServerState| s.ready() && !s.probe_in_flight;
-        let trial_due =
-            |s: &ServerState| s.failure_score >= SUSPECT_SCORE && s.rest_until <= now && can_probe(s);
-        if let Some(slot) = self.servers.iter().position(trial_due) {
-            // The rest of a suspect server is over: one probe is its trial.
-            self.servers[slot].rest_until = now + self.servers[slot].next_rest;
+        let recovery_check_due =
+            |s: &ServerState| s.failure_score >= SUSPECT_SCORE && s.ejected_until <= now && can_probe(s);
+        if let Some(slot) = self.servers.iter().position(recovery_check_due) {
+            // The ejection time of a suspect server is over: one probe checks whether it has recovered.
+            self.servers[slot].ejected_until = now + self.servers[slot].next_ejection_time;
             self.send_probe(slot);
         }
         let affordable = self.affordable_probes();
@@ -480,7 +485,7 @@
             self.fill(&set, if fresh { 10_000.0 } else { self.response_time }, home);
             let index = pick_by_share(self.fill_shares.iter().copied(), draw);
             // In a large fleet `fleet::key_homes` limits what a home gets of all its keys.
-            let limited_as_home = self.visible_share() < 1.0 && index.map(|index| set[index]) == home;
+            let limited_as_home = self.visibility() < 1.0 && index.map(|index| set[index]) == home;
             (
                 index.map(|index| set[index]),
                 index.filter(|_| !limited_as_home).map_or(0.0, |index| self.fill_shares[index]),
@@ -489,8 +494,8 @@
         // What a key's home leaves over goes to one and the same server, since all sidecars draw greedily.
         // The more sidecars there are, the more often it is drawn from the share table of all servers
         // instead.
-        let (sight, left_over) = (self.visible_share(), first && home.is_some() && pick != home);
-        if left_over && sight < 1.0 && self.uniform() >= sight {
+        let (visibility, left_over) = (self.visibility(), first && home.is_some() && pick != home);
+        if left_over && visibility < 1.0 && self.uniform() >= visibility {
             let draw = self.uniform();
             pick = pick_by_share(self.share_table.iter().copied(), draw);
             share = pick.map_or(0.0, |slot| self.share_table[slot]);
--- a/crates/decision/src/slow_start.rs
+++ b/crates/decision/src/slow_start.rs
@@ -32,7 +32,7 @@
         let server = &self.servers[slot].info;
         let share = self.slow_start.max_share(self.now, self.warmth(slot), server.power);
         // In a large fleet a server is chosen in two ways: as the home of keys, and from the share table.
-        if self.settings.warm_keys && self.visible_share() < 1.0 {
+        if self.settings.warm_keys && self.visibility() < 1.0 {
             share / 2.0
         } else {
             share
@@ -42,8 +42,8 @@
     /// Whether a server that was drawn with this share gets the call. Where the maximum shares add up to less
     /// than 1, the shares exceed them in proportion; the excess is refused at random.
     fn accept_within_max_share(&mut self, slot: usize, share: f64) -> bool {
-        let most = self.slow_start_share(slot);
-        share <= most || self.uniform() < most / share
+        let max_share = self.slow_start_share(slot);
+        share <= max_share || self.uniform() < max_share / share
     }
 
     /// Whether the budget of a server allows one more call.
--- a/crates/decision/src/snapshot.rs
+++ b/crates/decision/src/snapshot.rs
@@ -6,9 +6,9 @@
 /// A balancer's current estimates, for operators to compare with the observed traffic.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Snapshot {
-    /// Servers in service, including those that are set aside.
+    /// Servers in service, including those that are ejected.
     pub ready: usize,
-    /// Servers in service that are set aside because of failures.
+    /// Servers in service that are ejected because of failures.
     pub set_aside: usize,
     /// Number of this sidecar's attempts in flight.
     pub attempts_in_flight: u32,
--- a/crates/decision/src/state.rs
+++ b/crates/decision/src/state.rs
@@ -11,7 +11,8 @@
 use roseproxy_fleet::tenants::TenantQuotas;
 use std::collections::HashMap;
 
-/// Failure score from which on a server is suspect and set aside.
+/// Failure score from which on a server is suspect: it is ejected, and stays suspect until a recovery check
+/// succeeds.
 pub(crate) const SUSPECT_SCORE: f64 = 0.5;
 
 /// Time (microseconds) over which this sidecar's request rate is smoothed.
@@ -20,7 +21,7 @@
 /// Number of slots from which on a new server reuses the slot of one that is gone.
 const SLOT_REUSE_FROM: usize = 64;
 
-/// A server as the water-fill sees it.
+/// A server as input of the water-fill (see `water_fill.rs`).
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
     /// Effective load, in requests.
@@ -42,7 +43,7 @@
     pub reported_at: Option<Micros>,
     /// Whether the load is a guess, made because the server rejected a request, and not a report.
     pub load_is_guess: bool,
-    /// Logarithm of its speed relative to its machine kind, learned from answers.
+    /// Logarithm of the server's speed relative to its machine kind, learned from answers.
     pub log_speed: f64,
     /// Decayed time (microseconds) that this sidecar's attempts have spent at the server.
     pub recent_time_us: f64,
@@ -56,10 +57,10 @@
     pub capacity: f64,
     /// Smoothed share of bad outcomes.
     pub failure_score: f64,
-    /// Until when the server is set aside after too many bad outcomes.
-    pub rest_until: Micros,
-    /// Length of the next rest.
-    pub next_rest: Micros,
+    /// End of the server's ejection after too many bad outcomes.
+    pub ejected_until: Micros,
+    /// Duration of the next ejection.
+    pub next_ejection_time: Micros,
     /// This sidecar's attempts in flight.
     pub in_flight: u32,
     /// Since when none of these attempts has been answered.
@@ -267,8 +268,8 @@
         1e8 * handshake * self.servers.len() as f64 / requests
     }
 
-    /// Share of what happens at the servers that this sidecar sees by itself; 1 in small fleets.
-    pub(crate) fn visible_share(&self) -> f64 {
+    /// Share of the servers' traffic that this sidecar observes, see [`roseproxy_fleet::visibility`].
+    pub(crate) fn visibility(&self) -> f64 {
         roseproxy_fleet::visibility(self.settings.sidecars)
     }
 
--- a/crates/decision/src/table.rs
+++ b/crates/decision/src/table.rs
@@ -60,10 +60,10 @@
         passed
     }
 
-    /// Updates speed and capacity of every server, closes idle connections, sets unresponsive servers
-    /// aside, and collects the load reports.
+    /// Updates speed and capacity of every server, closes idle connections, ejects unresponsive servers, and
+    /// collects the load reports.
     fn evaluate_servers(&mut self) -> Reports {
-        let (now, idle_limit, sight) = (self.now, self.idle_break_even_us(), self.visible_share());
+        let (now, idle_limit, visibility) = (self.now, self.idle_break_even_us(), self.visibility());
         let overdue = 4.0 * self.response_time + 100_000.0;
         let kind_speeds = self.kind_speeds();
         let mut reports = Reports::default();
@@ -82,7 +82,7 @@
             {
                 // A server that accepts requests and answers none keeps its last low report, and must not
                 // attract more requests by it.
-                self.set_aside(slot);
+                self.eject(slot);
             }
             let warmth = self.warmth(slot);
             let server = &mut self.servers[slot];
@@ -90,7 +90,7 @@
                 * kind_speeds.speed_of(
                     server.info.kind,
                     server.log_speed,
-                    unused_decay(now - server.last_sent_at, sight),
+                    unused_decay(now - server.last_sent_at, visibility),
                 )
                 * warmth;
             let slowness = self.slowness(slot);
@@ -113,7 +113,7 @@
         }
         self.learn_traffic_share(&reports.known, passed);
         let count = reports.known.len() as f64;
-        self.mean_load = typical_load(&reports.known, self.visible_share());
+        self.mean_load = typical_load(&reports.known, self.visibility());
         self.mean_capacity = reports.known.iter().map(|(_, capacity)| capacity).sum::<f64>() / count;
         reports.total_age_us / count
     }
@@ -136,8 +136,8 @@
 
 /// Exponent by which the learned speed of a server has decayed since it was last used. A server that looked
 /// slow is sent little and teaches nothing, and that alone must not keep it slow.
-fn unused_decay(since_used: Micros, sight: f64) -> f64 {
-    since_used.max(0) as f64 * sight / LOG_SPEED_DECAY_US
+fn unused_decay(since_used: Micros, visibility: f64) -> f64 {
+    since_used.max(0) as f64 * visibility / LOG_SPEED_DECAY_US
 }
 
 /// Speeds of the machine kinds.
--- a/crates/decision/src/water_fill.rs
+++ b/crates/decision/src/water_fill.rs
@@ -1,8 +1,12 @@
 //! The water-fill of Theorem 4 (docs/design.md names the paper), for servers of unequal capacity.
+//!
+//! A water-fill gives shares to the emptiest servers first, until the expected load per unit of capacity of
+//! all servers that get a share reaches one common level, as water levels out in connected vessels.
 
 use crate::state::Candidate;
 
-/// Theorem 4 for servers of unequal capacity: raises (load/2 + (m-1) share)/capacity to one level.
+/// Theorem 4 for servers of unequal capacity: raises (load/2 + (m-1) share)/capacity to one level, where `m`
+/// is the number of requests that all sidecars together send while one load report is in use.
 ///
 /// Servers above the level get nothing. What exceeds a server's maximum share is distributed to the others.
 /// The shares sum to 1; where the maximum shares add up to less, they are exceeded in proportion. All
@@ -17,7 +21,7 @@
     shares.extend(candidates.iter().map(|c| if usable(c) { UNASSIGNED } else { 0.0 }));
     let mut left = 1.0_f64;
     loop {
-        // The level sinks as servers above it are taken out.
+        // The level falls as servers above it are excluded.
         let (mut level, mut count) = (f64::INFINITY, usize::MAX);
         loop {
             let (mut load, mut capacity, mut n) = (left.max(0.0) * m1, 0.0, 0);
@@ -26,7 +30,7 @@
                     (load, capacity, n) = (load + c.load / 2.0, capacity + c.capacity, n + 1);
                 }
             }
-            // Rounding may take one server out and in again; the loop ends once the count stops falling.
+            // Rounding may exclude and include a server in turn; the loop ends once the count stops falling.
             if n == 0 || n >= count {
                 break;
             }
--- a/crates/decision/tests/cold.rs
+++ b/crates/decision/tests/cold.rs
@@ -1,4 +1,4 @@
-//! Traffic of cold servers while warm ones are slow, set aside or full. A cold server is overloaded by the
+//! Traffic of cold servers while warm ones are slow, ejected or full. A cold server is overloaded by the
 //! sum of what all sidecars send, so it must not take over what others lose for a moment.
 
 mod common;
@@ -50,27 +50,27 @@
     to_cold
 }
 
-/// In the `throng` scenario of `harbour-permits` (seed 9956) most warm servers were set aside. Each cold
+/// In the `throng` scenario of `harbour-permits` (seed 9956) most warm servers were ejected. Each cold
 /// home's share was relative to the servers left, so it rose from 0.05 to 0.15 of all requests, and one
 /// server was overloaded. In this test, cold servers got 1584 of 2400 requests with that fault.
 #[test]
-fn a_cold_home_takes_over_no_requests_of_servers_that_are_set_aside() {
+fn a_cold_home_takes_over_no_requests_of_ejected_servers() {
     let (mut usual, mut alone) = (0, 0);
     for seed in 1..=8 {
         let mut driver = balancer(seed);
         usual += requests(&mut driver, 2_000, 300, |_| {});
         // All warm servers but two time out repeatedly.
-        let set_aside = |driver: &mut Driver| {
+        let eject_warm_servers = |driver: &mut Driver| {
             (COLD..SERVERS - 2).for_each(|s| drop(driver.end_probe(s, Outcome::TimedOut, None)));
         };
         // This lasts longer than homes stay unchanged.
-        requests(&mut driver, 3_000, 300, set_aside);
-        alone += requests(&mut driver, 4_000, 300, set_aside);
+        requests(&mut driver, 3_000, 300, eject_warm_servers);
+        alone += requests(&mut driver, 4_000, 300, eject_warm_servers);
     }
     println!(
-        "cold servers got {usual} of 2400 requests as usual and {alone} of 2400 while others were set aside"
+        "cold servers got {usual} of 2400 requests as usual and {alone} of 2400 while others were ejected"
     );
     // Cold servers have 0.18 of the fleet's capacity, or 440 requests, and get some more from the share
     // table.
-    assert!(alone <= 700, "{alone} of 2400 requests while others were set aside, {usual} as usual");
+    assert!(alone <= 700, "{alone} of 2400 requests while others were ejected, {usual} as usual");
 }
--- a/crates/decision/tests/failures.rs
+++ b/crates/decision/tests/failures.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_server_that_only_rejects_is_set_aside() {
+fn a_server_that_only_rejects_is_ejected() {
     let mut d = Driver::new(settings(), 3, 8);
     send_requests(&mut d, 1, 200, healthy);
     let full = |s| if s == 2 { (Outcome::Rejected, 500, 0.0) } else { healthy(s) };
@@ -110,7 +110,7 @@
     for id in 1000..1200 {
         let actions = d.advance(5_000).request(id, 0);
         probed.extend(probes(&actions));
-        assert!(!sent_to(&actions).contains(&1), "a request was sent before the trial is passed");
+        assert!(!sent_to(&actions).contains(&1), "a request was sent before the recovery check");
         for s in sent_to(&actions) {
             d.advance(12_000).end_attempt_after(id, 0, s, Outcome::Served, 12_000, load_report(2.0));
         }
--- a/crates/decision/tests/fleet.rs
+++ b/crates/decision/tests/fleet.rs
@@ -93,10 +93,9 @@
     assert!(cold >= 36, "{cold} of {} went to the thirty cold servers", went.iter().sum::<usize>());
 }
 
-/// Each sidecar sent two requests to a server that hangs before it set the server aside, and more after 0.3
-/// s.
+/// Each sidecar sent two requests to a server that hangs before it ejected the server, and more after 0.3 s.
 #[test]
-fn one_time_out_sets_a_server_aside_for_a_while() {
+fn one_time_out_ejects_a_server_for_a_while() {
     let mut d = one_of_many();
     let (mut wasted, mut went) = (0, 0);
     for id in 1000..1600 {
--- a/crates/decision/tests/rules.rs
+++ b/crates/decision/tests/rules.rs
@@ -270,9 +270,9 @@
             assert!(after <= 10_000_000, "after more than the longest time between two calls");
             assert_eq!(d.advance(after).expire_timer(token), vec![Action::Subscribe]);
         }
-        assert!(d.update_list(Update::Changes, &[server(2)]).is_empty(), "subscribed");
+        assert!(d.update_list(Update::Changes, &[server(2)]).is_empty(), "the watch is open");
         assert!(d.update_list(Update::Complete, &[server(2)]).is_empty(), "a gap brings a complete list");
-        assert_eq!(timers(&d.update_list(Update::Failed, &[])).len(), 1, "the subscription broke");
+        assert_eq!(timers(&d.update_list(Update::Failed, &[])).len(), 1, "the watch ended");
     }
     delays.sort_unstable();
     delays.dedup();
--- a/crates/fleet/src/discovery_calls.rs
+++ b/crates/fleet/src/discovery_calls.rs
@@ -8,8 +8,8 @@
 use rand_core::RngCore;
 
 /// Time from the start of one call to the start of the next while discovery is unavailable
-/// (microseconds). A change counts as told 6 s after discovery has it and can be reached; the
-/// remaining 1.5 s are for the response.
+/// (microseconds). Notice of a change counts as received 6 s after discovery has the change and can
+/// be reached; the remaining 1.5 s are for the response.
 const CALL_PERIOD_US: f64 = 4.5e6;
 /// Shortest time between two calls of a sidecar in a large fleet, whatever the settings ask for
 /// (microseconds).
@@ -22,25 +22,25 @@
 /// be held for a time before they are rejected, which looks like overload; pauses longer than the
 /// period would then outlast the lease of the list when discovery returns.
 const TOLERATED_OVERLOADS: u32 = 27;
-/// Contribution of each sidecar of a small fleet to the window of the next call, before any failure
-/// (microseconds).
+/// Time that each sidecar of a small fleet adds to the window within which the next call is drawn,
+/// before any failure (microseconds).
 const WINDOW_PER_SIDECAR_US: f64 = 50e3;
-/// Upper limit of that contribution, which doubles with each failure (microseconds).
+/// Upper limit of that time, which doubles with each failure (microseconds).
 const MAX_WINDOW_PER_SIDECAR_US: f64 = 350e3;
-/// Contribution of each sidecar to the spread of the first calls after a start (microseconds). It
-/// is short because the current list is old and no request is served from it before that call.
+/// Time that each sidecar adds to the spread of the first calls after a start (microseconds). It is
+/// short because the current list is old and no request is served from it before that call.
 const FIRST_CALL_SPREAD_PER_SIDECAR_US: f64 = 20e3;
-/// Minimum window of the next call, as a share of the time within which an instance without a watch
-/// must ask. It doubles with each of the first two failures.
+/// Minimum window of the next call, as a share of the maximum poll interval. It doubles with each of
+/// the first two failures.
 const MIN_WINDOW_SHARE: f64 = 0.1;
-/// Longest wait for the first call, or for the call after a watch ended, as a share of the time
-/// within which an instance without a watch must ask.
+/// Longest wait for the first call, or for the call after a watch ended, as a share of the maximum
+/// poll interval.
 const MAX_WAIT_SHARE: f64 = 0.9;
-/// Longest wait for a call after one that failed, as a share of the same time.
+/// Longest wait for a call after one that failed, as a share of the maximum poll interval.
 const MAX_WAIT_SHARE_AFTER_FAILURE: f64 = 3.5;
-/// First pause between calls where lists are pushed (microseconds). The pauses are short because a
-/// change counts as told as soon as discovery's agent has it, and the agent serves only one
-/// machine.
+/// First pause between calls where lists are pushed (microseconds). The pauses are short because
+/// notice of a change counts as received as soon as discovery's agent has the change, and the agent
+/// serves only one machine.
 const FIRST_PUSH_PAUSE_US: i64 = 25_000;
 /// Longest pause between calls where lists are pushed (microseconds).
 const MAX_PUSH_PAUSE_US: i64 = 200_000;
@@ -89,8 +89,8 @@
 #[derive(Clone, Debug)]
 pub struct CallSchedule {
     sidecars: usize,
-    /// Time within which an instance without a watch must ask (microseconds).
-    ask_within: f64,
+    /// Longest time between two calls that the settings allow while no watch is open (microseconds).
+    max_poll_interval: f64,
     state: State,
     /// Consecutive failures, with the planned first call counted as one.
     failures: u32,
@@ -100,9 +100,9 @@
 
 impl CallSchedule {
     /// Creates the schedule of one sidecar in a fleet of `sidecars`.
-    pub fn new(sidecars: usize, ask_within: i64) -> CallSchedule {
-        let ask_within = ask_within.max(0) as f64;
-        CallSchedule { sidecars, ask_within, state: State::NotStarted, failures: 0, overloads: 0 }
+    pub fn new(sidecars: usize, max_poll_interval: i64) -> CallSchedule {
+        let max_poll_interval = max_poll_interval.max(0) as f64;
+        CallSchedule { sidecars, max_poll_interval, state: State::NotStarted, failures: 0, overloads: 0 }
     }
 
     /// Records that a planned call starts.
@@ -159,11 +159,11 @@
     }
 
     /// Sidecars may be restarted together, so the first calls are spread in proportion to the
-    /// fleet's size, but by one period at most: changes made while the process was down count as
-    /// told by the same deadline as others.
+    /// fleet's size, but by one period at most: notice of changes made while the process was down
+    /// counts as received by the same deadline as that of others.
     fn plan_first_call(&mut self, rng: &mut impl RngCore) -> i64 {
         let spread = self.sidecars as f64 * FIRST_CALL_SPREAD_PER_SIDECAR_US;
-        let wait = spread.min(CALL_PERIOD_US).min(self.ask_within * MAX_WAIT_SHARE) * uniform(rng);
+        let wait = spread.min(CALL_PERIOD_US).min(self.max_poll_interval * MAX_WAIT_SHARE) * uniform(rng);
         self.failures = 1;
         self.state = State::Waiting;
         wait as i64
@@ -180,7 +180,7 @@
             // spread.
             return remaining;
         }
-        self.period().min(self.ask_within * MAX_WAIT_SHARE) * uniform(rng)
+        self.period().min(self.max_poll_interval * MAX_WAIT_SHARE) * uniform(rng)
     }
 
     /// Returns the wait after a failed call that was made `elapsed` microseconds ago.
@@ -207,34 +207,34 @@
         crate::visibility(self.sidecars) >= 1.0
     }
 
-    /// Returns the window from which a small fleet's next call is drawn. It widens with failures,
-    /// within the time that an instance may take to ask.
+    /// Returns the window (microseconds) within which a sidecar of a small fleet draws its next call.
+    /// It widens with failures, up to a multiple of the maximum poll interval.
     fn window(&self) -> f64 {
-        let min_window = self.ask_within * MIN_WINDOW_SHARE * f64::from(1 << self.failures.min(2));
+        let min_window = self.max_poll_interval * MIN_WINDOW_SHARE * f64::from(1 << self.failures.min(2));
         let per_sidecar =
             (WINDOW_PER_SIDECAR_US * f64::from(1 << self.failures.min(8))).min(MAX_WINDOW_PER_SIDECAR_US);
         let max_wait_share = if self.failures == 0 { MAX_WAIT_SHARE } else { MAX_WAIT_SHARE_AFTER_FAILURE };
         let spread = self.sidecars as f64 * per_sidecar;
-        min_window.max(spread.min(self.ask_within * max_wait_share))
+        min_window.max(spread.min(self.max_poll_interval * max_wait_share))
     }
 
     /// Returns the time between the starts of two calls while discovery is unavailable.
     fn period(&self) -> f64 {
-        CALL_PERIOD_US.min(self.ask_within * MAX_WAIT_SHARE_AFTER_FAILURE).max(MIN_CALL_PERIOD_US)
+        CALL_PERIOD_US.min(self.max_poll_interval * MAX_WAIT_SHARE_AFTER_FAILURE).max(MIN_CALL_PERIOD_US)
     }
 
     /// Returns the mean time between two calls after repeated overloads; the caller adds a jitter
     /// of a half.
     fn overload_pause(&self) -> f64 {
         let doublings = self.overloads.saturating_sub(TOLERATED_OVERLOADS).min(16);
-        let max_pause = (self.ask_within * MAX_WAIT_SHARE_AFTER_FAILURE / 1.5).max(self.period());
+        let max_pause = (self.max_poll_interval * MAX_WAIT_SHARE_AFTER_FAILURE / 1.5).max(self.period());
         (self.period() * f64::from(1 << doublings)).min(max_pause)
     }
 }
 
 /// Backoff between calls where lists are pushed. The pauses are short and independent of the
-/// fleet's size: a change counts as told as soon as discovery's agent has it, and each agent serves
-/// one machine.
+/// fleet's size: notice of a change counts as received as soon as discovery's agent has the change,
+/// and each agent serves one machine.
 #[derive(Clone, Debug, Default)]
 pub struct PushBackoff {
     failures: u32,
--- a/crates/fleet/src/ejection.rs
+++ b/crates/fleet/src/ejection.rs
@@ -1,4 +1,5 @@
-//! Ejection of failing servers: how soon a server is ejected, and for how long.
+//! Ejection of failing servers: how soon a sidecar excludes a server from its choice, and for how
+//! long.
 //!
 //! Each sidecar detects a failing server from its own requests alone. If each of a hundred sidecars
 //! sent an overloaded server two requests before ejecting it, and retried after 0.3 s, the server
--- a/crates/fleet/src/key_homes.rs
+++ b/crates/fleet/src/key_homes.rs
@@ -1,5 +1,5 @@
-//! Key affinity: the home servers to which all sidecars send a key's requests first, so that the
-//! key is still cached there, and the share of the key's requests that each home gets.
+//! Key affinity. The homes of a key are the servers to which all sidecars send its requests first,
+//! so that the key is still cached there; each home gets a share of the key's requests.
 
 use crate::draw::{pick_by_share, uniform};
 use rand_core::SeedableRng;
--- a/crates/fleet/src/list_lease.rs
+++ b/crates/fleet/src/list_lease.rs
@@ -4,7 +4,8 @@
 //! discovery reports confirmations and failures, and checks the lease before each send. All times
 //! are in milliseconds of one clock.
 
-/// Time after which a change counts as told, once discovery has it and can be reached (ms).
+/// Time after which notice of a change counts as received, whether or not it has arrived, once
+/// discovery has the change and can be reached (ms).
 const NOTICE_TERM_MS: f64 = 6_000.0;
 /// The same after discovery has moved to another address (ms).
 const NOTICE_TERM_AFTER_MOVE_MS: f64 = 4_000.0;
@@ -18,9 +19,9 @@
 pub struct LeaseTerms {
     /// Time for which requests may still be sent to a server after notice of its drain (ms).
     pub grace_ms: f64,
-    /// Time after which a change counts as told once a watch has ended (ms): the time within which
-    /// an instance without a watch must ask, or 0 where an agent on the same machine pushes lists.
-    /// It is limited to the term that applies to all changes.
+    /// Time after which notice of a change counts as received once a watch has ended (ms): the
+    /// maximum poll interval, or 0 where an agent on the same machine pushes lists. It is limited to
+    /// the term that applies to all changes.
     pub unwatched_ms: f64,
 }
 
@@ -58,13 +59,13 @@
     term: Term,
     /// Whether a call has failed since the start and no confirmation has arrived.
     start_failed: bool,
-    /// Whether the last call got no response.
+    /// Whether the last call received no response.
     unanswered: bool,
 }
 
 impl ListLease {
-    /// Creates the lease of a list that was kept from before the start. Changes made in between may
-    /// already count as told, so the lease lasts no longer than the grace.
+    /// Creates the lease of a list that was kept from before the start. Notice of changes made in
+    /// between may already count as received, so the lease lasts no longer than the grace.
     pub fn of_kept_list(started_at: f64, terms: LeaseTerms) -> ListLease {
         let (grace_ms, unwatched_ms) = (terms.grace_ms, terms.unwatched_ms.clamp(0.0, NOTICE_TERM_MS));
         let term = Term::Until(started_at + grace_ms);
--- a/crates/fleet/src/slow_start.rs
+++ b/crates/fleet/src/slow_start.rs
@@ -1,9 +1,10 @@
 //! Slow start: how many calls one sidecar may send to a cold server.
 //!
-//! A server that has just started falls over when all sidecars together send it more than a
-//! multiple of its present capacity within a span of time named by the settings. The capacity
-//! itself is not known; it is estimated from the rate that warm servers of the same size serve, and
-//! each sidecar takes the part of it that it observes itself. The shares of the water-fill stay
+//! A server is cold from its start until it has reached its full capacity, and warm from then on. A
+//! cold server becomes overloaded when all sidecars together send it more than a multiple of its
+//! present capacity within a span of time given by the settings. The capacity itself is not known;
+//! it is estimated from the rate that warm servers of the same size serve, and each sidecar uses the
+//! part of that rate that it observes itself. The shares that the decision module computes stay
 //! within a fraction of that budget on average. This module enforces the budget whatever the shares
 //! are, for example when only cold servers are left.
 
@@ -42,9 +43,9 @@
     pub cold_from: f64,
     /// Time after which a server is warm (microseconds).
     pub warm_up: i64,
-    /// A server falls over at more than this multiple of its present capacity.
+    /// A cold server that is sent more than this multiple of its present capacity becomes overloaded.
     pub fall_multiple: f64,
-    /// Time over which that load is counted (microseconds).
+    /// Time over which that multiple is counted (microseconds).
     pub overload_span: i64,
 }
 
@@ -176,8 +177,8 @@
         }
     }
 
-    /// Returns the largest share of this sidecar's calls that a server with this warmth and power
-    /// may get.
+    /// Returns the largest share of this sidecar's calls that may go to a server with this warmth
+    /// and power.
     pub fn max_share(&self, now: i64, warmth: f64, power: f64) -> f64 {
         let calls = self.calls.per_us(now) * self.ramp.overload_span as f64;
         if warmth >= 1.0 || self.warm_rate_per_power <= 0.0 || calls <= 0.0 {
--- a/crates/fleet/tests/discovery_calls.rs
+++ b/crates/fleet/tests/discovery_calls.rs
@@ -4,16 +4,16 @@
 use rand_xoshiro::Xoshiro128PlusPlus;
 use roseproxy_fleet::discovery_calls::{CallFailure, CallSchedule, PushBackoff};
 
-const SECOND: i64 = 1_000_000;
-const ASK_WITHIN: i64 = 10 * SECOND;
+const SECOND_US: i64 = 1_000_000;
+const MAX_POLL_INTERVAL_US: i64 = 10 * SECOND_US;
 /// Time from one call to the next while discovery is unavailable.
-const PERIOD: i64 = 4_500_000;
+const PERIOD_US: i64 = 4_500_000;
 /// Durations of calls that are refused, do not connect, are dropped from discovery's queue, or get
 /// no response.
-const REFUSAL: i64 = 2_000;
-const CONNECT_TIMEOUT: i64 = SECOND;
-const QUEUE_TIMEOUT: i64 = 2 * SECOND;
-const RESPONSE_TIMEOUT: i64 = 3 * SECOND;
+const REFUSAL_US: i64 = 2_000;
+const CONNECT_TIMEOUT_US: i64 = SECOND_US;
+const QUEUE_TIMEOUT_US: i64 = 2 * SECOND_US;
+const RESPONSE_TIMEOUT_US: i64 = 3 * SECOND_US;
 /// Consecutive overload failures before the pauses grow.
 const TOLERATED_OVERLOADS: usize = 27;
 
@@ -26,18 +26,18 @@
 
 impl Caller {
     /// Returns a sidecar that has just started, and the wait for its first call.
-    fn new(sidecars: usize, ask_within: i64, seed: u64) -> (Caller, i64) {
+    fn new(sidecars: usize, max_poll_interval: i64, seed: u64) -> (Caller, i64) {
         let mut rng = Xoshiro128PlusPlus::seed_from_u64(seed);
-        let mut schedule = CallSchedule::new(sidecars, ask_within);
+        let mut schedule = CallSchedule::new(sidecars, max_poll_interval);
         let wait = schedule.on_list(&mut rng).expect("a first call");
         (Caller { schedule, rng, now: 0 }, wait)
     }
 
     /// Returns a sidecar whose first call was answered a minute ago.
     fn watching(sidecars: usize, seed: u64) -> Caller {
-        let (mut caller, wait) = Caller::new(sidecars, ASK_WITHIN, seed);
+        let (mut caller, wait) = Caller::new(sidecars, MAX_POLL_INTERVAL_US, seed);
         caller.succeed_call(wait);
-        caller.now += 60 * SECOND;
+        caller.now += 60 * SECOND_US;
         caller
     }
 
@@ -71,16 +71,16 @@
 /// Returns the largest of 500 draws, in tenths of a second, rounded up.
 fn max_in_tenths(draw: impl Fn(u64) -> i64) -> i64 {
     let longest = (0..500).map(draw).max().unwrap_or(0);
-    (longest + SECOND / 10 - 1) / (SECOND / 10)
+    (longest + SECOND_US / 10 - 1) / (SECOND_US / 10)
 }
 
 #[test]
 fn a_small_fleet_calls_soon_and_less_often_with_failures() {
     let after_failures = |failures| {
         max_in_tenths(|seed| {
-            let (mut caller, mut wait) = Caller::new(9, ASK_WITHIN, seed);
+            let (mut caller, mut wait) = Caller::new(9, MAX_POLL_INTERVAL_US, seed);
             for _ in 0..failures {
-                wait = caller.fail_call(wait, REFUSAL);
+                wait = caller.fail_call(wait, REFUSAL_US);
             }
             wait
         })
@@ -91,11 +91,11 @@
 
 #[test]
 fn first_calls_are_spread_by_the_size_of_the_fleet() {
-    let first = |sidecars| max_in_tenths(|seed| Caller::new(sidecars, ASK_WITHIN, seed).1);
+    let first = |sidecars| max_in_tenths(|seed| Caller::new(sidecars, MAX_POLL_INTERVAL_US, seed).1);
     assert_eq!([9, 100, 300, 10_000_000].map(first), [2, 20, 45, 45], "never past the period");
-    let first_of = |ask_within| max_in_tenths(|seed| Caller::new(300, ask_within, seed).1);
+    let first_of = |max_poll_interval| max_in_tenths(|seed| Caller::new(300, max_poll_interval, seed).1);
     assert_eq!(
-        [SECOND, 2 * SECOND].map(first_of),
+        [SECOND_US, 2 * SECOND_US].map(first_of),
         [9, 18],
         "never past the time within which a sidecar must ask"
     );
@@ -106,20 +106,20 @@
 #[test]
 fn a_large_fleet_calls_again_within_the_period_after_any_failure() {
     for sidecars in [11, 100, 1_000, 10_000_000] {
-        for fails_after in [REFUSAL, CONNECT_TIMEOUT] {
+        for fails_after in [REFUSAL_US, CONNECT_TIMEOUT_US] {
             let mut caller = Caller::watching(sidecars, 3);
             let mut wait = caller.end_watch();
-            assert!(wait <= PERIOD, "{wait} us after the watch ended");
+            assert!(wait <= PERIOD_US, "{wait} us after the watch ended");
             for _ in 0..20 {
                 wait = caller.fail_call(wait, fails_after);
-                assert_eq!(wait + fails_after, PERIOD, "of {sidecars}, counted from the call");
+                assert_eq!(wait + fails_after, PERIOD_US, "of {sidecars}, counted from the call");
             }
         }
         // A call that was accepted and failed may have met an outage as well as a queue.
-        for fails_after in [QUEUE_TIMEOUT, RESPONSE_TIMEOUT] {
+        for fails_after in [QUEUE_TIMEOUT_US, RESPONSE_TIMEOUT_US] {
             let mut caller = Caller::watching(sidecars, 3);
             let wait = caller.end_watch();
-            assert_eq!(caller.fail_call(wait, fails_after) + fails_after, PERIOD);
+            assert_eq!(caller.fail_call(wait, fails_after) + fails_after, PERIOD_US);
         }
     }
 }
@@ -131,11 +131,11 @@
     let next_wait = |seed| {
         let mut caller = Caller::watching(1_000, seed);
         let wait = caller.end_watch();
-        caller.fail_call(wait, PERIOD + SECOND)
+        caller.fail_call(wait, PERIOD_US + SECOND_US)
     };
     let waits: Vec<i64> = (0..200).map(next_wait).collect();
-    assert!(waits.iter().all(|wait| (0..=PERIOD).contains(wait)), "{waits:?}");
-    let early = waits.iter().filter(|wait| **wait < PERIOD / 2).count();
+    assert!(waits.iter().all(|wait| (0..=PERIOD_US).contains(wait)), "{waits:?}");
+    let early = waits.iter().filter(|wait| **wait < PERIOD_US / 2).count();
     assert!((70..=130).contains(&early), "{early} of 200 are due in the first half of the period");
 }
 
@@ -146,13 +146,13 @@
         let mut caller = Caller::watching(9, seed);
         let mut wait = caller.end_watch();
         for _ in 0..6 {
-            wait = caller.fail_call(wait, RESPONSE_TIMEOUT);
-            assert!(wait + RESPONSE_TIMEOUT <= PERIOD, "{wait} us later");
+            wait = caller.fail_call(wait, RESPONSE_TIMEOUT_US);
+            assert!(wait + RESPONSE_TIMEOUT_US <= PERIOD_US, "{wait} us later");
         }
         // The same holds if the settings allow long pauses.
-        let (mut caller, wait) = Caller::new(4, 60 * SECOND, seed);
-        let wait = caller.fail_call(wait, REFUSAL);
-        assert!(wait <= PERIOD, "{wait} us later");
+        let (mut caller, wait) = Caller::new(4, 60 * SECOND_US, seed);
+        let wait = caller.fail_call(wait, REFUSAL_US);
+        assert!(wait <= PERIOD_US, "{wait} us later");
     }
 }
 
@@ -164,14 +164,14 @@
         let mut caller = Caller::watching(1_000, seed);
         let end = caller.now;
         let mut wait = caller.end_watch();
-        while caller.now - end < 60 * SECOND {
-            wait = caller.fail_call(wait, REFUSAL);
+        while caller.now - end < 60 * SECOND_US {
+            wait = caller.fail_call(wait, REFUSAL_US);
             calls.push(caller.now - end);
         }
     }
     calls.sort_unstable();
     let before = |time| calls.partition_point(|call| *call < time);
-    let most = calls.iter().map(|at| before(at + SECOND) - before(*at)).max().unwrap_or(0);
+    let most = calls.iter().map(|at| before(at + SECOND_US) - before(*at)).max().unwrap_or(0);
     assert!(most <= 280, "{most} calls within one second, of 222 in the mean");
 }
 
@@ -185,8 +185,8 @@
         let mut caller = Caller::watching(300, seed);
         let mut wait = caller.end_watch();
         let mut period = || {
-            wait = caller.fail_call(wait, QUEUE_TIMEOUT);
-            (wait + QUEUE_TIMEOUT) as f64 / SECOND as f64
+            wait = caller.fail_call(wait, QUEUE_TIMEOUT_US);
+            (wait + QUEUE_TIMEOUT_US) as f64 / SECOND_US as f64
         };
         [(); TOLERATED_OVERLOADS + 8].map(|()| period())
     };
@@ -213,12 +213,16 @@
     let mut caller = Caller::watching(300, 7);
     let mut wait = caller.end_watch();
     for _ in 0..TOLERATED_OVERLOADS + 4 {
-        wait = caller.fail_call(wait, QUEUE_TIMEOUT);
+        wait = caller.fail_call(wait, QUEUE_TIMEOUT_US);
     }
-    assert!(wait > PERIOD, "{wait} us: the pauses have grown");
-    wait = caller.fail_call(wait, REFUSAL);
-    assert_eq!(wait + REFUSAL, PERIOD);
-    assert_eq!(caller.fail_call(wait, QUEUE_TIMEOUT) + QUEUE_TIMEOUT, PERIOD, "the count starts again");
+    assert!(wait > PERIOD_US, "{wait} us: the pauses have grown");
+    wait = caller.fail_call(wait, REFUSAL_US);
+    assert_eq!(wait + REFUSAL_US, PERIOD_US);
+    assert_eq!(
+        caller.fail_call(wait, QUEUE_TIMEOUT_US) + QUEUE_TIMEOUT_US,
+        PERIOD_US,
+        "the count starts again"
+    );
 }
 
 #[test]
@@ -226,13 +230,13 @@
     let mut caller = Caller::watching(300, 7);
     let mut wait = caller.end_watch();
     for _ in 0..TOLERATED_OVERLOADS + 4 {
-        wait = caller.fail_call(wait, QUEUE_TIMEOUT);
+        wait = caller.fail_call(wait, QUEUE_TIMEOUT_US);
     }
     caller.succeed_call(wait);
-    caller.now += 30 * SECOND;
+    caller.now += 30 * SECOND_US;
     let wait = caller.end_watch();
-    assert!(wait <= PERIOD, "{wait} us");
-    assert_eq!(caller.fail_call(wait, QUEUE_TIMEOUT) + QUEUE_TIMEOUT, PERIOD);
+    assert!(wait <= PERIOD_US, "{wait} us");
+    assert_eq!(caller.fail_call(wait, QUEUE_TIMEOUT_US) + QUEUE_TIMEOUT_US, PERIOD_US);
 }
 
 /// Watches that were opened one after another and all end soon afterwards are reopened in the same
@@ -242,8 +246,8 @@
     let mut caller = Caller::watching(1_000, 3);
     let wait = caller.end_watch();
     caller.succeed_call(wait);
-    caller.now += SECOND;
-    assert_eq!(caller.end_watch(), PERIOD - SECOND);
+    caller.now += SECOND_US;
+    assert_eq!(caller.end_watch(), PERIOD_US - SECOND_US);
 }
 
 /// When all watches fall silent at once, all sidecars call at once. The next calls must be spread,
@@ -253,18 +257,22 @@
     let next = |seed| {
         let mut caller = Caller::watching(1_000, seed);
         caller.schedule.on_watch_reopened(caller.now);
-        caller.now += CONNECT_TIMEOUT;
+        caller.now += CONNECT_TIMEOUT_US;
         caller.failed().expect("another call")
     };
     let mut waits: Vec<i64> = (0..1_000).map(next).collect();
     waits.sort_unstable();
-    assert!(waits[999] + CONNECT_TIMEOUT <= PERIOD, "{} us after the call", waits[999] + CONNECT_TIMEOUT);
-    assert!(waits[100] < SECOND / 2 && waits[900] > 3 * SECOND, "{} to {} us", waits[100], waits[900]);
+    assert!(
+        waits[999] + CONNECT_TIMEOUT_US <= PERIOD_US,
+        "{} us after the call",
+        waits[999] + CONNECT_TIMEOUT_US
+    );
+    assert!(waits[100] < SECOND_US / 2 && waits[900] > 3 * SECOND_US, "{} to {} us", waits[100], waits[900]);
 }
 
 #[test]
 fn one_call_is_planned_at_a_time() {
-    let (mut caller, _) = Caller::new(300, ASK_WITHIN, 5);
+    let (mut caller, _) = Caller::new(300, MAX_POLL_INTERVAL_US, 5);
     assert_eq!(caller.failed(), None, "the first call is planned");
     assert_eq!(caller.schedule.on_list(&mut caller.rng), None, "and stays planned");
     let mut caller = Caller::watching(300, 5);
@@ -275,16 +283,17 @@
 #[test]
 fn the_duration_of_a_call_distinguishes_overload_from_unavailability() {
     use CallFailure::{Overloaded, Unavailable};
-    let all = [REFUSAL, CONNECT_TIMEOUT, QUEUE_TIMEOUT, RESPONSE_TIMEOUT].map(CallFailure::from_elapsed);
+    let all = [REFUSAL_US, CONNECT_TIMEOUT_US, QUEUE_TIMEOUT_US, RESPONSE_TIMEOUT_US]
+        .map(CallFailure::from_elapsed);
     assert_eq!(all, [Unavailable, Unavailable, Overloaded, Overloaded]);
 }
 
 #[test]
 fn extreme_settings_have_pauses_too() {
-    for (sidecars, ask_within) in [(100, 0), (0, -5), (usize::MAX, i64::MAX), (usize::MAX, i64::MIN)] {
-        let (mut caller, mut wait) = Caller::new(sidecars, ask_within, 3);
+    for (sidecars, max_poll_interval) in [(100, 0), (0, -5), (usize::MAX, i64::MAX), (usize::MAX, i64::MIN)] {
+        let (mut caller, mut wait) = Caller::new(sidecars, max_poll_interval, 3);
         for _ in 0..40 {
-            wait = caller.fail_call(wait.min(SECOND), QUEUE_TIMEOUT);
+            wait = caller.fail_call(wait.min(SECOND_US), QUEUE_TIMEOUT_US);
             assert!(wait >= 0, "{wait}");
         }
     }
--- a/crates/fleet/tests/key_homes.rs
+++ b/crates/fleet/tests/key_homes.rs
@@ -6,7 +6,7 @@
 use roseproxy_fleet::key_homes::{home_count, Candidates, HomeCandidate, KeyHomes, MAX_COUNTED_KEYS};
 use std::collections::HashMap;
 
-const SECOND: i64 = 1_000_000;
+const SECOND_US: i64 = 1_000_000;
 /// Servers of the largest supported fleets.
 const SERVERS: u64 = 3_200;
 const KEYS: u64 = 300;
@@ -151,7 +151,7 @@
     for number in 0..2 * KEYS {
         homes.record_request(number % KEYS);
         let before = homes.scored_pairs();
-        homes.choose_home(number % KEYS, candidates, number as i64 * SECOND / 10, 0.5);
+        homes.choose_home(number % KEYS, candidates, number as i64 * SECOND_US / 10, 0.5);
         let scored = homes.scored_pairs() - before;
         assert!(scored <= SERVERS, "request {number} scored {scored} pairs of keys and servers");
     }
--- a/crates/fleet/tests/slow_start.rs
+++ b/crates/fleet/tests/slow_start.rs
@@ -2,9 +2,9 @@
 
 use roseproxy_fleet::slow_start::{Ramp, SlowStart};
 
-const SECOND: i64 = 1_000_000;
+const SECOND_US: i64 = 1_000_000;
 const RAMP: Ramp =
-    Ramp { cold_from: 0.1, warm_up: 20 * SECOND, fall_multiple: 2.0, overload_span: 3 * SECOND / 2 };
+    Ramp { cold_from: 0.1, warm_up: 20 * SECOND_US, fall_multiple: 2.0, overload_span: 3 * SECOND_US / 2 };
 const WARM: u64 = 1;
 const COLD: u64 = 2;
 
--- a/crates/lab/src/recorded.rs
+++ b/crates/lab/src/recorded.rs
@@ -51,7 +51,7 @@
         }
         let before = out.len();
         self.inner.handle(now, event, out);
-        let p = self.inner.picture();
+        let p = self.inner.snapshot();
         for action in &out[before..] {
             let (request, text) = match action {
                 Action::Send { request, server, timeout } => {
@@ -74,7 +74,7 @@
         }
     }
 
-    fn picture(&self) -> Snapshot {
-        self.inner.picture()
+    fn snapshot(&self) -> Snapshot {
+        self.inner.snapshot()
     }
 }
--- a/crates/routing/src/answers.rs
+++ b/crates/routing/src/answers.rs
@@ -10,7 +10,7 @@
 const ANSWER_GUARD_MS: f64 = 5.0;
 
 impl Host {
-    /// Answers a flow unless it already has an answer: the first answer wins every race.
+    /// Answers a flow unless it already has an answer: only the first answer is sent.
     pub(super) fn answer(&mut self, now: f64, id: FlowId, answer: Answer) {
         self.answer_with_reason(now, id, answer, None);
     }
--- a/crates/routing/src/decider.rs
+++ b/crates/routing/src/decider.rs
@@ -13,7 +13,7 @@
     fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>);
 
     /// Returns the decider's estimates of its servers.
-    fn picture(&self) -> Snapshot {
+    fn snapshot(&self) -> Snapshot {
         Snapshot::default()
     }
 }
@@ -23,7 +23,7 @@
         Balancer::handle(self, now, event, out);
     }
 
-    fn picture(&self) -> Snapshot {
+    fn snapshot(&self) -> Snapshot {
         Balancer::snapshot(self)
     }
 }
--- a/crates/routing/src/discovery.rs
+++ b/crates/routing/src/discovery.rs
@@ -44,7 +44,7 @@
 ];
 
 impl CallEnd {
-    /// Returns its name in the counters and in the event log.
+    /// Returns the end's name in the counters and in the event log.
     pub fn name(self) -> &'static str {
         label_of(&CALL_ENDS, self)
     }
@@ -84,7 +84,7 @@
         /// Number of entries.
         entries: usize,
         /// Number of entries that could not be parsed.
-        unread: usize,
+        unreadable_entries: usize,
         /// Whether they are older than the list in use.
         behind: bool,
     },
@@ -107,9 +107,9 @@
             }
             DiscoveryEvent::CallStarted(None) => write!(f, "call_started whole_list"),
             DiscoveryEvent::WatchOpened(after) => write!(f, "watch_opened after={after:.0}"),
-            DiscoveryEvent::ListTaken { revision, complete, entries, unread, behind } => {
+            DiscoveryEvent::ListTaken { revision, complete, entries, unreadable_entries, behind } => {
                 write!(f, "list_taken revision={revision} complete={complete} entries={entries}")?;
-                write!(f, " unread={unread} behind={behind}")
+                write!(f, " unread={unreadable_entries} behind={behind}")
             }
             DiscoveryEvent::CallEnded(end, after) => {
                 write!(f, "call_ended reason={} after={after:.0}", end.name())
@@ -209,7 +209,7 @@
         }
         if !self.settings.must_subscribe {
             // Where lists are pushed, the decision module requests none.
-            let pause = time::to_millis(self.pushed_calls.on_failure());
+            let pause = time::to_millis(self.push_backoff.on_failure());
             self.timers.set(now + pause, TimerKind::Watch);
         }
         self.notify_module(now, Event::Servers { update: Update::Failed, servers: &[] });
--- a/crates/routing/src/event_log.rs
+++ b/crates/routing/src/event_log.rs
@@ -122,12 +122,12 @@
     Client,
     /// The client left while its request was open.
     Departed,
-    /// The last answer announced it: the process ends, the request was malformed, or bytes followed
-    /// it.
+    /// The last answer announced the close: the process ends, the request was malformed, or bytes
+    /// followed the request.
     Answered,
-    /// It was idle for too long, or its slot was needed.
+    /// The connection was idle for too long, or its socket was needed for another client.
     Idle,
-    /// Its request did not arrive completely in time.
+    /// A request on the connection did not arrive completely in time.
     Late,
     /// The process shuts down.
     Shutdown,
@@ -182,11 +182,11 @@
         attempt: usize,
     },
     /// The last byte of an attempt was written.
-    AttemptWhole {
+    AttemptWritten {
         /// Number of the attempt.
         attempt: usize,
         /// Time limit sent to the endpoint (ms).
-        told: f64,
+        announced_ms: f64,
     },
     /// An attempt ended.
     AttemptEnded {
@@ -266,7 +266,9 @@
                 write!(f, " attempt={attempt} withheld reason={}", reason.name())
             }
             EventKind::AttemptBegan { attempt } => write!(f, " attempt={attempt} began"),
-            EventKind::AttemptWhole { attempt, told } => write!(f, " attempt={attempt} whole told={told:.0}"),
+            EventKind::AttemptWritten { attempt, announced_ms } => {
+                write!(f, " attempt={attempt} whole told={announced_ms:.0}")
+            }
             EventKind::AttemptEnded { attempt, outcome } => {
                 write!(f, " attempt={attempt} ended outcome={outcome:?}")
             }
--- a/crates/routing/src/flow.rs
+++ b/crates/routing/src/flow.rs
@@ -10,7 +10,7 @@
 /// Identifies one attempt of a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ForwardId {
-    /// The flow it belongs to.
+    /// The flow that the attempt belongs to.
     pub flow: FlowId,
     /// Number of the attempt, from 0 in the order of sending.
     pub attempt: usize,
@@ -21,9 +21,9 @@
 pub struct NewFlow {
     /// Class of the request.
     pub class: ClassId,
-    /// Index of its tenant, if the settings name it.
+    /// Index of the request's tenant, if the settings name the tenant.
     pub tenant: Option<usize>,
-    /// Stable hash of the key that it concerns.
+    /// Stable hash of the key that the request concerns.
     pub key: Option<u64>,
     /// Time until the client gives up, counted from when it sent the request (ms).
     pub time_left: f64,
@@ -62,31 +62,31 @@
     }
 }
 
-/// One entry of the target group.
+/// One entry of the target list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
     /// Id of the target, the same at every sidecar.
     pub id: ServerId,
-    /// Address on which it listens.
+    /// Address on which the target listens.
     pub address: SocketAddr,
-    /// Tag of its zone.
+    /// Tag of the target's zone.
     pub zone: u32,
-    /// Tag of its cell.
+    /// Tag of the target's cell.
     pub cell: u32,
-    /// Tag of its machine kind.
+    /// Tag of the target's machine kind.
     pub kind: u32,
     /// Capacity relative to the other targets.
     pub power: f64,
     /// Last start in clock time (ms); `None` if it was long ago.
     pub started_at: Option<f64>,
-    /// Whether it accepts new work.
+    /// Whether the target accepts new work.
     pub readiness: Readiness,
 }
 
 /// Result of a probe.
 #[derive(Clone, Copy, Debug)]
 pub struct ProbeEnd {
-    /// How it ended.
+    /// How the probe ended.
     pub outcome: Outcome,
     /// Load reported by the target, if any.
     pub load: Option<Load>,
@@ -116,6 +116,6 @@
     GiveUpProbe(ServerId),
     /// Close idle connections to a target.
     CloseIdle(ServerId),
-    /// Open a watch on the target group.
+    /// Call discovery and open a watch on the target list.
     Watch,
 }
--- a/crates/routing/src/guard.rs
+++ b/crates/routing/src/guard.rs
@@ -17,7 +17,8 @@
     RequestEnded,
     /// The client's connection has ended, which has not been reported yet.
     ClientLeft,
-    /// Its head was created too long ago: the time limit in it, or the idempotency window, is over.
+    /// The attempt's head was created too long ago: the time limit stated in it, or the idempotency
+    /// window, is over.
     WrittenTooLate,
     /// The client's time is over.
     OutOfTime,
@@ -27,7 +28,7 @@
     EndpointGone,
     /// The target is draining.
     EndpointLeaving,
-    /// An earlier attempt is still open, and the settings allow no second copy.
+    /// An earlier attempt is still open, and the settings allow no second copy beside it.
     SecondCopy,
     /// An earlier attempt may have run, and the class is unsafe to repeat.
     MayHaveRun,
@@ -59,7 +60,7 @@
 ];
 
 impl WithheldReason {
-    /// Returns its name in the counters and in the event log.
+    /// Returns the reason's name in the counters and in the event log.
     pub fn name(self) -> &'static str {
         label_of(&WITHHELD_REASONS, self)
     }
@@ -138,8 +139,8 @@
     /// Whether a target may be sent new work. Notice of its drain may have arrived between a
     /// decision and the send: the send is allowed within the grace, and never after it.
     fn check_accepts_work(&self, now: f64, target: ServerId) -> Result<&Member, WithheldReason> {
-        // Notice of a drain counts as told after a time even if it has not arrived, so an expired
-        // list permits no send.
+        // Notice of a drain counts as received after a time even if it has not arrived, so an
+        // expired list permits no send.
         if self.list_expired(now) {
             return Err(WithheldReason::ListExpired);
         }
@@ -155,8 +156,8 @@
         }
     }
 
-    /// Returns the time by which an attempt's last byte must be written, since its time counts from
-    /// that byte, so that it is no harmful repeat of the other attempts. Infinite if there is no
+    /// Returns the time by which an attempt's last byte must be written, so that the attempt is no
+    /// harmful repeat of the others: an attempt counts from its last byte. Infinite if there is no
     /// limit.
     pub(super) fn repeat_deadline(
         &self,
--- a/crates/routing/src/intake.rs
+++ b/crates/routing/src/intake.rs
@@ -1,4 +1,4 @@
-//! Stage 1: requests become flows, and lists become the target group.
+//! Stage 1: requests become flows, and lists from discovery update the targets.
 
 use super::flow::{FlowId, NewFlow, Target};
 use super::{time, EventKind, Flow, Host, Member, TIME_RESERVE_MS};
@@ -40,11 +40,11 @@
         }
     }
 
-    /// Applies a list or changes of the target group. Only a complete list removes targets that it
-    /// does not name.
+    /// Applies a target list or changes of it. Only a complete list removes targets that it does not
+    /// name.
     pub fn update_targets(&mut self, now: f64, update: Update, targets: &[Target]) {
         self.counters.lists_taken += 1;
-        self.pushed_calls.on_list();
+        self.push_backoff.on_list();
         if update == Update::Complete {
             let named: std::collections::HashSet<_> = targets.iter().map(|t| t.id).collect();
             let absent = self.members.values_mut().filter(|m| !named.contains(&m.target.id));
--- a/crates/routing/src/invariants.rs
+++ b/crates/routing/src/invariants.rs
@@ -51,7 +51,7 @@
 ];
 
 impl Violation {
-    /// Returns its name in the counters and in the event log.
+    /// Returns the violation's name in the counters and in the event log.
     pub fn name(self) -> &'static str {
         label_of(&VIOLATIONS, self)
     }
@@ -97,10 +97,14 @@
 
     /// Records that the last byte of an attempt was written, whose head sent the target this time
     /// limit (ms).
-    pub fn attempt_written(&mut self, now: f64, id: ForwardId, told: f64) {
-        self.events.record(now, Some(id.flow), EventKind::AttemptWhole { attempt: id.attempt, told });
+    pub fn attempt_written(&mut self, now: f64, id: ForwardId, announced_ms: f64) {
+        self.events.record(
+            now,
+            Some(id.flow),
+            EventKind::AttemptWritten { attempt: id.attempt, announced_ms },
+        );
         let left = self.flows.get(&id.flow).map(|request| client_deadline(request) - now);
-        if left.is_some_and(|left| told > left + DEADLINE_TOLERANCE_MS) {
+        if left.is_some_and(|left| announced_ms > left + DEADLINE_TOLERANCE_MS) {
             self.record_violation(now, Some(id.flow), Violation::DeadlineTooLong);
         }
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -47,8 +47,8 @@
 /// Time limit of a probe (ms); a later report no longer describes the present load.
 pub const PROBE_TIMEOUT_MS: f64 = 300.0;
 
-/// Shortest delay of the event loop that is recorded (ms). During a delay requests wait unread, and
-/// conditions checked before it may no longer hold.
+/// Shortest delay of the event loop that is recorded (ms). During a delay no request is read, and
+/// conditions that were checked before the delay may no longer hold.
 const MIN_REPORTED_DELAY_MS: f64 = 20.0;
 
 #[derive(Debug)]
@@ -67,7 +67,7 @@
 struct Forward {
     target: ServerId,
     sent_at: f64,
-    /// Whether writing of its first byte was permitted.
+    /// Whether writing of the attempt's first byte was permitted.
     written: bool,
 }
 
@@ -75,12 +75,12 @@
 #[derive(Debug)]
 struct WrittenAttempt {
     attempt: usize,
-    /// Time at which it was sent (ms).
+    /// Time at which the attempt was sent (ms).
     sent_at: f64,
     /// Zone and cell of its target.
     zone: u32,
     cell: u32,
-    /// Whether it has not ended yet.
+    /// Whether the attempt has not ended yet.
     open: bool,
 }
 
@@ -117,7 +117,7 @@
     last_flow: FlowId,
     last_probe_number: u64,
     /// Pauses between calls to discovery where lists are pushed.
-    pushed_calls: PushBackoff,
+    push_backoff: PushBackoff,
     /// Lease of the current list; `None` if discovery is not followed.
     lease: Option<ListLease>,
     /// Whether the lease had expired when it was last checked.
@@ -143,8 +143,8 @@
 
     /// Creates a host of the given decider.
     pub fn with_decider(settings: Settings, balancer: Box<dyn Decider>) -> Host {
-        // Where lists are pushed, the decision module requests none, and changes count as told from
-        // the first moment on. The host then opens the watch itself.
+        // Where lists are pushed, the decision module requests none, and notice of changes counts as
+        // received from the start on. The host then opens the watch itself.
         let first_order = (!settings.must_subscribe).then_some(Order::Watch);
         Host {
             balancer,
@@ -161,7 +161,7 @@
             orders: first_order.into_iter().collect(),
             last_flow: 0,
             last_probe_number: 0,
-            pushed_calls: PushBackoff::default(),
+            push_backoff: PushBackoff::default(),
             lease: None,
             list_was_expired: false,
             counters: Counters::default(),
@@ -215,23 +215,23 @@
         self.list_settled(now) && self.members.values().any(|m| m.target.readiness == Readiness::Ready)
     }
 
-    /// Returns the decision module's estimates of the target group as whole numbers by name, for
+    /// Returns the decision module's estimates of the targets as whole numbers by name, for
     /// comparison with the traffic on the sockets.
-    pub fn picture(&self) -> Vec<(String, u64)> {
-        let picture = self.balancer.picture();
+    pub fn snapshot(&self) -> Vec<(String, u64)> {
+        let snapshot = self.balancer.snapshot();
         let whole_ms = |micros: Micros| time::to_millis(micros).max(0.0) as u64;
         [
-            ("picture_ready", picture.ready as u64),
-            ("picture_set_aside", picture.set_aside as u64),
-            ("picture_forwards_open", u64::from(picture.attempts_in_flight)),
-            ("picture_report_age_ms", whole_ms(picture.mean_report_age)),
-            ("picture_oldest_report_ms", whole_ms(picture.oldest_report_age)),
-            ("picture_load_percent", (picture.mean_load * 100.0) as u64),
-            ("picture_stay_ms", whole_ms(picture.response_time as Micros)),
-            ("picture_spread_percent", (picture.forecast_error * 100.0) as u64),
-            ("picture_late_percent", (picture.late_share * 100.0) as u64),
-            ("picture_tables", picture.tables_built),
-            ("picture_trust_percent", (picture.report_trust * 100.0) as u64),
+            ("picture_ready", snapshot.ready as u64),
+            ("picture_set_aside", snapshot.set_aside as u64),
+            ("picture_forwards_open", u64::from(snapshot.attempts_in_flight)),
+            ("picture_report_age_ms", whole_ms(snapshot.mean_report_age)),
+            ("picture_oldest_report_ms", whole_ms(snapshot.oldest_report_age)),
+            ("picture_load_percent", (snapshot.mean_load * 100.0) as u64),
+            ("picture_stay_ms", whole_ms(snapshot.response_time as Micros)),
+            ("picture_spread_percent", (snapshot.forecast_error * 100.0) as u64),
+            ("picture_late_percent", (snapshot.late_share * 100.0) as u64),
+            ("picture_tables", snapshot.tables_built),
+            ("picture_trust_percent", (snapshot.report_trust * 100.0) as u64),
             ("flows_open", self.flows.len() as u64),
             ("forwards_open", self.forwards.len() as u64),
         ]
--- a/crates/routing/src/send.rs
+++ b/crates/routing/src/send.rs
@@ -1,4 +1,4 @@
-//! Stage 4: forwards are sent, and each ends exactly once.
+//! Stage 4: forwards (attempts on the network) are sent, and each ends exactly once.
 
 use super::event_log::AttemptReason;
 use super::flow::{Answer, FlowId, ForwardEnd, ForwardId, Order};
@@ -37,10 +37,10 @@
 
     /// Returns the reason of an attempt, derived from the earlier ones.
     fn attempt_reason(&self, id: ForwardId) -> AttemptReason {
-        let is_out = |attempt| self.forwards.contains_key(&ForwardId { attempt, ..id });
+        let is_open = |attempt| self.forwards.contains_key(&ForwardId { attempt, ..id });
         match id.attempt {
             0 => AttemptReason::First,
-            earlier if (0..earlier).any(is_out) => AttemptReason::SecondCopy,
+            earlier if (0..earlier).any(is_open) => AttemptReason::SecondCopy,
             _ => AttemptReason::Retry,
         }
     }
--- a/crates/routing/src/start_times.rs
+++ b/crates/routing/src/start_times.rs
@@ -11,7 +11,7 @@
 use std::collections::{HashMap, HashSet};
 
 /// Latest time after a start at which discovery may report it (ms).
-const NOTICE_TERM_MS: f64 = 6_000.0;
+const MAX_START_REPORT_DELAY_MS: f64 = 6_000.0;
 /// Number of known starts above which those that a complete list does not name are dropped.
 const MAX_KNOWN_STARTS: usize = 8_192;
 
@@ -91,7 +91,7 @@
         let age = (clocks.program - listed).min(clocks.wall - listed).max(0.0);
         match self.last_list.filter(|_| source == ListSource::Discovery) {
             // Discovery would have reported an earlier start before: both clocks were stepped.
-            Some(last) if age > clocks.program - last + NOTICE_TERM_MS => clocks.program - last,
+            Some(last) if age > clocks.program - last + MAX_START_REPORT_DELAY_MS => clocks.program - last,
             _ => age,
         }
     }
--- a/crates/routing/tests/invariants.rs
+++ b/crates/routing/tests/invariants.rs
@@ -8,7 +8,7 @@
 use roseproxy_routing::flow::{ForwardEnd, ForwardId, NewFlow, Target};
 use roseproxy_routing::Host;
 
-const NOW: f64 = 1_000_000.0;
+const NOW_MS: f64 = 1_000_000.0;
 const FIRST: ServerId = ServerId(1);
 const OTHER: ServerId = ServerId(2);
 
@@ -42,8 +42,8 @@
     let settings = Settings { classes: vec![class], second_copies: true, ..Settings::default() };
     let mut host = Host::with_decider(settings, Box::new(SendTwice));
     let both = [endpoint(FIRST, 1, Readiness::Ready), endpoint(OTHER, 2, Readiness::Ready)];
-    host.update_targets(NOW, Update::Complete, &both);
-    let flow = host.accept_request(NOW, NewFlow { class: 0, tenant: None, key: None, time_left: 1_000.0 });
+    host.update_targets(NOW_MS, Update::Complete, &both);
+    let flow = host.accept_request(NOW_MS, NewFlow { class: 0, tenant: None, key: None, time_left: 1_000.0 });
     (host, ForwardId { flow, attempt: 0 })
 }
 
@@ -60,10 +60,10 @@
 #[test]
 fn a_faultless_request_violates_nothing_and_is_logged() {
     let (mut host, id) = host(Effect::Safe);
-    assert!(host.begin_write(NOW, id).is_some());
-    host.attempt_began(NOW, id);
-    host.attempt_written(NOW, id, 980.0);
-    host.forward_ended(NOW + 5.0, id, ForwardEnd::Served("x".into()), None);
+    assert!(host.begin_write(NOW_MS, id).is_some());
+    host.attempt_began(NOW_MS, id);
+    host.attempt_written(NOW_MS, id, 980.0);
+    host.forward_ended(NOW_MS + 5.0, id, ForwardEnd::Served("x".into()), None);
     assert_eq!(violations(&host), [""; 0]);
     let log = host.events.text();
     for part in ["ordered", "began", "whole told=980", "ended outcome=Served", "request=1 served"] {
@@ -75,22 +75,23 @@
 fn an_attempt_that_begins_too_late_is_counted() {
     let begin = |host: &mut Host, id, now| host.attempt_began(now, id);
     let (mut ended, id) = host(Effect::Safe);
-    assert!(ended.begin_write(NOW, id).is_some());
-    ended.client_left(NOW, id.flow);
-    begin(&mut ended, id, NOW + 1.0);
+    assert!(ended.begin_write(NOW_MS, id).is_some());
+    ended.client_left(NOW_MS, id.flow);
+    begin(&mut ended, id, NOW_MS + 1.0);
     assert_eq!(violations(&ended), ["violations_attempt_after_end"]);
 
     let (mut overdue, id) = host(Effect::Safe);
-    begin(&mut overdue, id, NOW + 1_001.0);
+    begin(&mut overdue, id, NOW_MS + 1_001.0);
     assert_eq!(violations(&overdue), ["violations_attempt_after_deadline"]);
 
     let (mut drained, id) = host(Effect::Safe);
-    drained.update_targets(NOW, Update::Changes, &[endpoint(FIRST, 1, Readiness::Draining)]);
-    begin(&mut drained, id, NOW + 900.0);
+    drained.update_targets(NOW_MS, Update::Changes, &[endpoint(FIRST, 1, Readiness::Draining)]);
+    begin(&mut drained, id, NOW_MS + 900.0);
     assert_eq!(violations(&drained), [""; 0], "the grace of the settings is 1.5 s");
     let drain_grace = Settings::default().network.drain_grace as f64 / 1e3;
-    let flow = drained.accept_request(NOW, NewFlow { class: 0, tenant: None, key: None, time_left: 9_000.0 });
-    begin(&mut drained, ForwardId { flow, attempt: 0 }, NOW + drain_grace + 1.0);
+    let flow =
+        drained.accept_request(NOW_MS, NewFlow { class: 0, tenant: None, key: None, time_left: 9_000.0 });
+    begin(&mut drained, ForwardId { flow, attempt: 0 }, NOW_MS + drain_grace + 1.0);
     assert_eq!(violations(&drained), ["violations_attempt_at_leaving"]);
 }
 
@@ -99,12 +100,12 @@
     let cell = Effect::Keyed { group: Group::Cell, window: 4_000_000 };
     for (effect, reason) in [(Effect::Unsafe, "may_have_run"), (cell, "outside_group")] {
         let (mut host, id) = host(effect);
-        assert!(host.begin_write(NOW, id).is_some());
-        host.tick(NOW + 60.0);
+        assert!(host.begin_write(NOW_MS, id).is_some());
+        host.tick(NOW_MS + 60.0);
         let again = ForwardId { attempt: 1, ..id };
-        assert!(host.begin_write(NOW + 60.0, again).is_none());
+        assert!(host.begin_write(NOW_MS + 60.0, again).is_none());
         assert_eq!(count(&host, &format!("attempts_withheld_{reason}")), 1);
-        host.attempt_began(NOW + 60.0, again);
+        host.attempt_began(NOW_MS + 60.0, again);
         assert_eq!(violations(&host), ["violations_forbidden_repeat"]);
     }
 }
@@ -112,13 +113,13 @@
 #[test]
 fn a_time_limit_beyond_the_clients_and_a_late_answer_are_counted() {
     let (mut host, id) = host(Effect::Safe);
-    assert!(host.begin_write(NOW, id).is_some());
-    host.attempt_written(NOW + 140.0, id, 980.0);
+    assert!(host.begin_write(NOW_MS, id).is_some());
+    host.attempt_written(NOW_MS + 140.0, id, 980.0);
     assert_eq!(violations(&host), [""; 0], "0.15 s are tolerated");
-    host.attempt_written(NOW + 200.0, id, 980.0);
+    host.attempt_written(NOW_MS + 200.0, id, 980.0);
     assert_eq!(violations(&host), ["violations_deadline_too_long"]);
-    host.forward_ended(NOW + 1_600.0, id, ForwardEnd::Failed(Outcome::Error), None);
-    host.begin_shutdown(NOW + 1_600.0);
+    host.forward_ended(NOW_MS + 1_600.0, id, ForwardEnd::Failed(Outcome::Error), None);
+    host.begin_shutdown(NOW_MS + 1_600.0);
     assert_eq!(count(&host, "violations_late_answer"), 1);
     assert!(host.events.text().contains("VIOLATED late_answer"));
 }
--- a/crates/routing/tests/list_lease.rs
+++ b/crates/routing/tests/list_lease.rs
@@ -9,9 +9,9 @@
 use roseproxy_routing::flow::{Answer, FlowId, ForwardId, NewFlow, Order, Target};
 use roseproxy_routing::Host;
 
-const STARTED_AT: f64 = 1_000_000.0;
+const STARTED_AT_MS: f64 = 1_000_000.0;
 /// Half of the drain grace in these settings.
-const GRACE: f64 = 750.0;
+const GRACE_MS: f64 = 750.0;
 /// After this long without contact, plus the grace, a list expires.
 const NOTICE_TERM_MS: f64 = 6_000.0;
 const ENDPOINT: ServerId = ServerId(1);
@@ -56,8 +56,8 @@
         ..Settings::default()
     };
     let mut host = Host::with_decider(settings, Box::new(SendsTwice));
-    host.update_targets(STARTED_AT, Update::Complete, &list());
-    host.follow_discovery(STARTED_AT, STARTED_AT);
+    host.update_targets(STARTED_AT_MS, Update::Complete, &list());
+    host.follow_discovery(STARTED_AT_MS, STARTED_AT_MS);
     host
 }
 
@@ -88,13 +88,13 @@
     for pushed in [false, true] {
         let mut host = host(pushed);
         orders(&mut host);
-        request(&mut host, STARTED_AT + GRACE - 1.0);
+        request(&mut host, STARTED_AT_MS + GRACE_MS - 1.0);
         assert_eq!(orders(&mut host).0.len(), 1, "within the grace");
-        let id = request(&mut host, STARTED_AT + GRACE);
+        let id = request(&mut host, STARTED_AT_MS + GRACE_MS);
         assert_eq!(orders(&mut host), (vec![], vec![id]), "refused at once, so that a retry is harmless");
         assert_eq!(count(&host, "refused_list_expired"), 1);
-        host.list_confirmed(STARTED_AT + 2_000.0);
-        request(&mut host, STARTED_AT + 2_000.0);
+        host.list_confirmed(STARTED_AT_MS + 2_000.0);
+        request(&mut host, STARTED_AT_MS + 2_000.0);
         assert_eq!(orders(&mut host).0.len(), 1, "confirmed");
     }
 }
@@ -105,40 +105,40 @@
 fn an_allowed_attempt_is_neither_written_nor_repeated_once_the_list_has_expired() {
     let mut host = host(false);
     orders(&mut host);
-    let flow = request(&mut host, STARTED_AT + GRACE - 50.0);
+    let flow = request(&mut host, STARTED_AT_MS + GRACE_MS - 50.0);
     let id = ForwardId { flow, attempt: 0 };
     assert_eq!(orders(&mut host).0, [id]);
-    let permit = host.begin_write(STARTED_AT + GRACE - 10.0, id).expect("it may still be written");
-    assert!(!host.may_continue_write(STARTED_AT + GRACE, id, permit, true));
-    host.tick(STARTED_AT + GRACE + 60.0);
+    let permit = host.begin_write(STARTED_AT_MS + GRACE_MS - 10.0, id).expect("it may still be written");
+    assert!(!host.may_continue_write(STARTED_AT_MS + GRACE_MS, id, permit, true));
+    host.tick(STARTED_AT_MS + GRACE_MS + 60.0);
     assert_eq!(orders(&mut host).0, [], "no second copy");
     assert_eq!(count(&host, "attempts_withheld_list_expired"), 2);
     assert_eq!(count(&host, "violations_attempt_by_expired_list"), 0);
     // An attempt that is written anyway counts as a violation once the whole grace is over.
-    host.attempt_began(STARTED_AT + 2.0 * GRACE, id);
+    host.attempt_began(STARTED_AT_MS + 2.0 * GRACE_MS, id);
     assert_eq!(count(&host, "violations_attempt_by_expired_list"), 0);
-    host.attempt_began(STARTED_AT + 2.0 * GRACE + 1.0, id);
+    host.attempt_began(STARTED_AT_MS + 2.0 * GRACE_MS + 1.0, id);
     assert_eq!(count(&host, "violations_attempt_by_expired_list"), 1);
 }
 
 #[test]
 fn a_sidecar_is_ready_once_its_list_is_confirmed_or_discovery_is_unavailable() {
     let mut confirmed = host(false);
-    assert!(!confirmed.can_serve(STARTED_AT));
-    confirmed.list_confirmed(STARTED_AT + 100.0);
-    assert!(confirmed.can_serve(STARTED_AT + 100.0));
+    assert!(!confirmed.can_serve(STARTED_AT_MS));
+    confirmed.list_confirmed(STARTED_AT_MS + 100.0);
+    assert!(confirmed.can_serve(STARTED_AT_MS + 100.0));
     assert!(
-        !confirmed.can_serve(STARTED_AT + 100.0 + NOTICE_TERM_MS + GRACE),
+        !confirmed.can_serve(STARTED_AT_MS + 100.0 + NOTICE_TERM_MS + GRACE_MS),
         "not ready with an expired list"
     );
     let mut cut_off = host(false);
-    cut_off.discovery_failed(STARTED_AT + 1_000.0, CallEnd::Unreachable);
-    assert!(cut_off.can_serve(STARTED_AT + 600_000.0));
+    cut_off.discovery_failed(STARTED_AT_MS + 1_000.0, CallEnd::Unreachable);
+    assert!(cut_off.can_serve(STARTED_AT_MS + 600_000.0));
     // That this machine could not open a connection says nothing about discovery.
     let mut out_of_ports = host(false);
-    out_of_ports.list_confirmed(STARTED_AT);
-    out_of_ports.discovery_failed(STARTED_AT + 1_000.0, CallEnd::NotMade);
-    assert!(!out_of_ports.can_serve(STARTED_AT + NOTICE_TERM_MS + GRACE));
+    out_of_ports.list_confirmed(STARTED_AT_MS);
+    out_of_ports.discovery_failed(STARTED_AT_MS + 1_000.0, CallEnd::NotMade);
+    assert!(!out_of_ports.can_serve(STARTED_AT_MS + NOTICE_TERM_MS + GRACE_MS));
 }
 
 /// Requests are still served during an outage of discovery, and the log states when the list
@@ -146,10 +146,10 @@
 #[test]
 fn an_outage_of_discovery_that_begins_with_queued_calls_is_logged() {
     let mut host = host(false);
-    host.discovery_call_started(STARTED_AT, Some(1));
-    host.tick(STARTED_AT + GRACE);
-    host.discovery_failed(STARTED_AT + 2_000.0, CallEnd::TurnedAway);
-    host.tick(STARTED_AT + 5_000.0);
+    host.discovery_call_started(STARTED_AT_MS, Some(1));
+    host.tick(STARTED_AT_MS + GRACE_MS);
+    host.discovery_failed(STARTED_AT_MS + 2_000.0, CallEnd::TurnedAway);
+    host.tick(STARTED_AT_MS + 5_000.0);
     let log = host.events.text();
     let expired = log.find("discovery list_expired unconfirmed_for=750").expect("it expired");
     let renewed = log.find("discovery list_renewed").expect("it is valid again");
@@ -157,7 +157,7 @@
     assert_eq!(count(&host, "lists_expired"), 1);
     assert_eq!(count(&host, "discovery_call_ended_turned_away"), 1);
     orders(&mut host);
-    request(&mut host, STARTED_AT + 5_000.0);
+    request(&mut host, STARTED_AT_MS + 5_000.0);
     assert_eq!(orders(&mut host).0.len(), 1);
 }
 
@@ -165,9 +165,9 @@
 #[test]
 fn the_lease_ends_after_a_move_without_confirmation() {
     let mut host = host(false);
-    host.list_confirmed(STARTED_AT);
-    host.discovery_moved(STARTED_AT + 1_000.0, true);
-    let end = STARTED_AT + 1_000.0 + 4_000.0 + GRACE;
+    host.list_confirmed(STARTED_AT_MS);
+    host.discovery_moved(STARTED_AT_MS + 1_000.0, true);
+    let end = STARTED_AT_MS + 1_000.0 + 4_000.0 + GRACE_MS;
     assert!(host.can_serve(end - 1.0) && !host.can_serve(end));
     host.list_confirmed(end);
     assert!(host.can_serve(end));
--- a/crates/transport/src/attempt.rs
+++ b/crates/transport/src/attempt.rs
@@ -101,7 +101,7 @@
         let client_connected = self.client_is_connected(id.flow);
         let allowed = self.host.borrow_mut().may_continue_write(self.now(), id, permit, client_connected);
         if !client_connected {
-            self.client_gone(id.flow);
+            self.client_left(id.flow);
         }
         allowed
     }
--- a/crates/transport/src/connector.rs
+++ b/crates/transport/src/connector.rs
@@ -21,7 +21,7 @@
 /// Why a connection could not be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectError {
-    /// This machine could not open it; this says nothing about the other side.
+    /// The connection failed for a reason on this machine, which says nothing about the other side.
     Local,
     /// The other side refused the connection or did not accept it in time.
     Remote,
--- a/crates/transport/src/discovery.rs
+++ b/crates/transport/src/discovery.rs
@@ -47,8 +47,8 @@
     /// The revision for which the complete list was requested because an entry could not be
     /// decoded.
     refetched_for: Option<u64>,
-    /// When the process started (ms): changes made before it may count as announced to this sidecar
-    /// from then on.
+    /// When the process started (ms): notice of changes made before may count as received by this
+    /// sidecar from then on.
     process_start: f64,
 }
 
@@ -78,7 +78,7 @@
         Watcher { process_start, ..self }
     }
 
-    /// Watches whenever routing requests it, and reports failures to routing. Routing's timers,
+    /// Opens a watch whenever routing requests one, and reports failures to routing. Routing's timers,
     /// which the decision module sets with jitter and growing delays, decide when to try again. A
     /// changed address is not a failure and is called at once. Runs as long as the program.
     pub async fn run(mut self) {
@@ -113,7 +113,8 @@
             tokio::select! {
                 biased;
                 // A watch only ends by failing. One that was open and fell silent is broken, and
-                // changes that it misses count as announced 6 s later, so it is reopened at once.
+                // notice of the changes that it misses counts as received 6 s later, so the watch is
+                // reopened at once.
                 // Heartbeats are not aligned across sidecars, which spreads these calls. A reopened
                 // watch that gets no answer is an ordinary failure with the usual pauses.
                 end = self.run_watch(address, started_at) => {
@@ -248,7 +249,13 @@
                 let behind = revision < self.last_revision;
                 (self.revision, self.last_revision) = (Some(revision), revision);
                 let (complete, entries) = (update == Update::Complete, targets.len());
-                let taken = DiscoveryEvent::ListTaken { revision, complete, entries, unread, behind };
+                let taken = DiscoveryEvent::ListTaken {
+                    revision,
+                    complete,
+                    entries,
+                    unreadable_entries: unread,
+                    behind,
+                };
                 self.gateway.discovery_event(taken);
                 self.gateway.set_revision(revision);
                 // Must come before applying the list, which sends the requests that wait for one.
@@ -266,8 +273,8 @@
 
     /// Requests the complete list if entries could not be decoded, but only once per revision, as
     /// they may be undecodable in the complete list too.
-    fn check_unreadable_entries(&mut self, unread: usize) -> Result<(), CallEnd> {
-        if unread == 0 || self.refetched_for == Some(self.last_revision) {
+    fn check_unreadable_entries(&mut self, unreadable_entries: usize) -> Result<(), CallEnd> {
+        if unreadable_entries == 0 || self.refetched_for == Some(self.last_revision) {
             return Ok(());
         }
         (self.refetched_for, self.revision) = (Some(self.last_revision), None);
--- a/crates/transport/src/gateway.rs
+++ b/crates/transport/src/gateway.rs
@@ -146,7 +146,7 @@
     }
 
     /// Reports that the client of a flow has left. Has no effect on a flow that has been answered.
-    pub fn client_gone(self: &Rc<Self>, id: FlowId) {
+    pub fn client_left(self: &Rc<Self>, id: FlowId) {
         if self.remove_pending(id).is_some() {
             self.timed(Activity::Departure, |host, now| host.client_left(now, id));
             self.execute_orders();
@@ -318,7 +318,7 @@
     /// All counters and gauges with their names.
     pub fn counts(&self) -> Vec<(String, u64)> {
         let mut counts = self.host.borrow().counters.named_counts();
-        counts.extend(self.host.borrow().picture());
+        counts.extend(self.host.borrow().snapshot());
         counts.extend(self.counters.named_counts());
         let gauges = [
             ("discovery_revision", self.revision.get()),
@@ -397,7 +397,7 @@
 
     fn execute_order(self: &Rc<Self>, order: Order) {
         match order {
-            Order::Forward { id, target, address, timeout: patience } => {
+            Order::Forward { id, target, address, timeout } => {
                 let pending = self
                     .pending_flows
                     .borrow()
@@ -405,7 +405,7 @@
                     .map(|flow| (flow.request.clone(), flow.ended.clone()));
                 // Routing sends only for flows that it holds open, and those are pending here.
                 let Some(pending) = pending else { return };
-                let deadline = self.now() + patience;
+                let deadline = self.now() + timeout;
                 let task = self.clone().forward(id, target, address, deadline, pending);
                 self.forwards.borrow_mut().insert(id, tokio::task::spawn_local(task).into());
             }
--- a/crates/transport/src/listener.rs
+++ b/crates/transport/src/listener.rs
@@ -91,7 +91,7 @@
     may_have_unread_input: Cell<bool>,
     /// Whether the answer given is the last on this connection.
     last_answer_given: Cell<bool>,
-    /// Asks the connection's own task to check whether the connection should end. The task checks
+    /// Notifies the connection's own task to check whether the connection should end. The task checks
     /// again because the condition that caused the notification may no longer hold.
     recheck: Notify,
 }
@@ -450,6 +450,6 @@
 
 impl<N: Network> Drop for FlowGuard<N> {
     fn drop(&mut self) {
-        self.gateway.client_gone(self.id);
+        self.gateway.client_left(self.id);
     }
 }
--- a/crates/transport/src/request_framing.rs
+++ b/crates/transport/src/request_framing.rs
@@ -24,12 +24,12 @@
 /// The request being received, tracked as its bytes arrive.
 #[derive(Debug, Default)]
 pub(super) struct IncomingRequest {
-    /// When its first byte arrived.
+    /// When the request's first byte arrived.
     started_at: Cell<Option<f64>>,
-    /// Its head until that is complete.
+    /// The request's head, until it is complete.
     head: RefCell<Vec<u8>>,
     framing: Cell<Option<Framing>>,
-    /// Number of bytes received after its head.
+    /// Number of bytes received after the head.
     bytes_after_head: Cell<u64>,
 }
 
