--- a/crates/lab/src/recording_decider.rs
+++ b/crates/lab/src/recording_decider.rs
@@ -55,7 +55,7 @@
         }
         let before = out.len();
         self.inner.handle(now, event, out);
-        let snapshot = self.inner.picture();
+        let snapshot = self.inner.snapshot();
         for action in &out[before..] {
             let (request, text) = match action {
                 Action::Send { request, server, timeout } => {
@@ -82,7 +82,7 @@
         }
     }
 
-    fn picture(&self) -> Snapshot {
-        self.inner.picture()
+    fn snapshot(&self) -> Snapshot {
+        self.inner.snapshot()
     }
 }
