--- a/crates/emulator/src/accounting/mod.rs
+++ b/crates/emulator/src/accounting/mod.rs
@@ -31,7 +31,7 @@
     /// replacement may take over the address of a server that has gone.
     listed_addresses: BTreeSet<(usize, usize)>,
     /// By sidecar and server: when discovery first sent the sidecar a list in which the server drains or is gone.
-    told_leaving_at: BTreeMap<(usize, usize), f64>,
+    notified_leaving_at: BTreeMap<(usize, usize), f64>,
     /// By server: when the registry first listed it as draining or gone.
     registry_leaving_at: BTreeMap<usize, f64>,
     /// Place and time of the first run of each request, and the number of runs. Requests of keyed classes are
@@ -91,7 +91,7 @@
             ended: f64::NAN,
             end: TryEnd::Open,
             regret: None,
-            taken: false,
+            written: false,
             bodies: Vec::new(),
         });
         self.by_id.insert(id, index);
@@ -114,9 +114,9 @@
     ) {
         self.listed_addresses.insert((sidecar, address_index));
         if in_service {
-            self.told_leaving_at.remove(&(sidecar, server));
+            self.notified_leaving_at.remove(&(sidecar, server));
         } else {
-            self.told_leaving_at.entry((sidecar, server)).or_insert(now);
+            self.notified_leaving_at.entry((sidecar, server)).or_insert(now);
         }
     }
 
@@ -152,9 +152,9 @@
             let what = format!("server {server}");
             self.record_violation(now, Rule::Unlisted, Some(sidecar), Some(flow), what);
         }
-        let told = self.leaving_known_at(sidecar, server, limits.told_within_ms);
-        if received_at > told + limits.drain_grace_ms + limits.slack_ms {
-            let what = format!("server {server}, {:.0} ms after", received_at - told);
+        let known_at = self.leaving_known_at(sidecar, server, limits.told_within_ms);
+        if received_at > known_at + limits.drain_grace_ms + limits.slack_ms {
+            let what = format!("server {server}, {:.0} ms after", received_at - known_at);
             self.record_violation(now, Rule::PastDrain, Some(sidecar), Some(flow), what);
         }
         if number >= limits.max_attempts {
@@ -166,11 +166,11 @@
     }
 
     /// The latest time (ms) at which a sidecar must have known that a server drains or is gone; infinite if it
-    /// need not know. A change of the registry counts as known after `told_within` (ms).
-    fn leaving_known_at(&self, sidecar: usize, server: usize, told_within: f64) -> f64 {
-        let told = self.told_leaving_at.get(&(sidecar, server)).copied();
-        let in_registry = self.registry_leaving_at.get(&server).map(|at| at + told_within);
-        told.into_iter().chain(in_registry).fold(f64::INFINITY, f64::min)
+    /// need not know. A change of the registry counts as known after `told_within_ms`.
+    fn leaving_known_at(&self, sidecar: usize, server: usize, told_within_ms: f64) -> f64 {
+        let notified_at = self.notified_leaving_at.get(&(sidecar, server)).copied();
+        let in_registry = self.registry_leaving_at.get(&server).map(|at| at + told_within_ms);
+        notified_at.into_iter().chain(in_registry).fold(f64::INFINITY, f64::min)
     }
 
     /// Records that a server accepted an attempt, which may run from now on. A second run of unsafe work is a
--- a/crates/emulator/src/accounting/records.rs
+++ b/crates/emulator/src/accounting/records.rs
@@ -162,7 +162,8 @@
     /// For a rejected try: whether a server could have served it.
     pub regret: Option<Regret>,
     /// Whether the request was written completely to the sidecar.
-    pub taken: bool,
+    #[serde(rename = "taken")]
+    pub written: bool,
     /// The response bodies that servers produced for it.
     #[serde(skip)]
     pub(super) bodies: Vec<Bytes>,
--- a/crates/emulator/src/client/exchange.rs
+++ b/crates/emulator/src/client/exchange.rs
@@ -39,12 +39,12 @@
         self.environment().record_violation(rule, self.sidecar, Some(self.flow), what);
     }
 
-    fn is_taken(&self) -> bool {
-        self.environment().accounting.borrow().tries[self.try_index].taken
+    fn is_written(&self) -> bool {
+        self.environment().accounting.borrow().tries[self.try_index].written
     }
 
-    fn set_taken(&self, taken: bool) {
-        self.environment().accounting.borrow_mut().tries[self.try_index].taken = taken;
+    fn set_written(&self, written: bool) {
+        self.environment().accounting.borrow_mut().tries[self.try_index].written = written;
     }
 
     /// Sends the request and waits for the response; returns how the try ended.
@@ -58,10 +58,10 @@
         match exchanged {
             Ok(Ok(answer)) => self.classify(&answer),
             _ if excused => (TryEnd::Excused, None),
-            Ok(Err(ReadError::Closed | ReadError::Broken)) if !self.is_taken() => {
+            Ok(Err(ReadError::Closed | ReadError::Broken)) if !self.is_written() => {
                 (TryEnd::NoConnection, None)
             }
-            Err(_) if !self.is_taken() => (TryEnd::NoConnection, None),
+            Err(_) if !self.is_written() => (TryEnd::NoConnection, None),
             Ok(Err(ReadError::Malformed(what))) => self.fail(Rule::WrongBody, what),
             Ok(Err(_)) => self.fail(Rule::Lost, "connection closed before a complete response".into()),
             Err(_) => {
@@ -108,7 +108,7 @@
                 }
                 return Err(ReadError::Closed);
             }
-            self.set_taken(true);
+            self.set_written(true);
             match wire.read_answer().await {
                 Ok(answer) => {
                     // A stopped application holds no connections.
@@ -119,7 +119,7 @@
                 }
                 // The sidecar closed the idle connection while the request was in flight: send it again on
                 // another connection.
-                Err(ReadError::Closed) if reused => self.set_taken(false),
+                Err(ReadError::Closed) if reused => self.set_written(false),
                 Err(error) => return Err(error),
             }
         }
--- a/crates/emulator/src/discovery/mod.rs
+++ b/crates/emulator/src/discovery/mod.rs
@@ -51,13 +51,13 @@
         let member = self.members.get(entry.server);
         let model = member.model.borrow();
         json!({
-            "id": model.plan.id,
+            "id": model.parameters.id,
             "host_port": environment.addresses.server(sidecar, member.address_index).to_string(),
-            "locality": environment.schedule.scenario.fleet.zones[model.plan.zone],
-            "flavor": model.plan.kind,
-            "cell": model.plan.cell,
+            "locality": environment.schedule.scenario.fleet.zones[model.parameters.zone],
+            "flavor": model.parameters.kind,
+            "cell": model.parameters.cell,
             "phase": entry.status.wire_name(),
-            "size": model.plan.size,
+            "size": model.parameters.size,
             "up_since_ms": entry.up_since,
         })
     }
--- a/crates/emulator/src/fleet/connection.rs
+++ b/crates/emulator/src/fleet/connection.rs
@@ -36,8 +36,8 @@
         let mut reachability = member.reachability.subscribe();
         let (over_table_limit, started) = member.update(fleet.environment.clock.now(), |m| {
             m.connections += 1;
-            m.add_background_work(m.plan.handshake.work);
-            (m.connections > m.plan.connection_table.size, m.started_at())
+            m.add_background_work(m.parameters.handshake.work);
+            (m.connections > m.parameters.connection_table.size, m.started_at())
         });
         let slot = ConnectionSlot(member.clone(), started);
         *fleet.environment.accounting.borrow_mut().connections.entry(member.number).or_default() += 1;
@@ -68,7 +68,7 @@
     /// Answers requests in sequence until the connection ends.
     async fn serve_requests(&self, wire: &mut Wire<F::Stream>) {
         let clock = &self.environment().clock;
-        let handshake_round_trips = self.member.model.borrow().plan.handshake.round_trips;
+        let handshake_round_trips = self.member.model.borrow().parameters.handshake.round_trips;
         let mut first_request = true;
         loop {
             if !self.wait_for_data(wire).await {
@@ -100,7 +100,7 @@
         if wire.has_buffered_data() {
             return true;
         }
-        let idle = Duration::from_secs_f64(self.member.model.borrow().plan.idle_timeout / 1e3);
+        let idle = Duration::from_secs_f64(self.member.model.borrow().parameters.idle_timeout / 1e3);
         matches!(tokio::time::timeout(idle, wire.fill_buffer()).await, Ok(Ok(true)))
     }
 }
--- a/crates/emulator/src/fleet/members.rs
+++ b/crates/emulator/src/fleet/members.rs
@@ -45,7 +45,7 @@
             let forecast = model.forecast(work);
             if forecast < best {
                 best = forecast;
-                let idle = (model.held() as f64) < model.plan.cores;
+                let idle = (model.held() as f64) < model.parameters.cores;
                 regret = match (forecast <= left, idle) {
                     (true, true) => Regret::CoreIdle,
                     (true, false) => Regret::WouldFit,
--- a/crates/emulator/src/fleet/mod.rs
+++ b/crates/emulator/src/fleet/mod.rs
@@ -48,7 +48,7 @@
     fn draw_one_way_delay(&self, sidecar: usize, member: &Member) -> f64 {
         let schedule = &self.environment.schedule;
         let network = schedule.network;
-        let same_zone = schedule.sidecars[sidecar].zone == member.model.borrow().plan.zone;
+        let same_zone = schedule.sidecars[sidecar].zone == member.model.borrow().parameters.zone;
         let draw = hashed(schedule.seed, &[DRAW_NETWORK_DELAY, self.next_draw()]);
         (if same_zone { network.same_zone } else { network.cross_zone })
             * lognormal_factor(network.jitter, draw)
--- a/crates/emulator/src/fleet/probes.rs
+++ b/crates/emulator/src/fleet/probes.rs
@@ -28,7 +28,7 @@
     /// Does the work of a probe; returns true if the limit of concurrent probes is exceeded.
     async fn run_probe(&self) -> bool {
         let (clock, member) = (&self.environment().clock, &self.member);
-        let Probes { work, limit, queued } = member.model.borrow().plan.probes;
+        let Probes { work, limit, queued } = member.model.borrow().parameters.probes;
         let over_limit = member.update(clock.now(), |m| {
             m.open_probes += 1;
             m.add_background_work(work);
--- a/crates/emulator/src/fleet/requests.rs
+++ b/crates/emulator/src/fleet/requests.rs
@@ -146,7 +146,7 @@
         let mut accounting = self.accounting();
         accounting.work_sent += work;
         let crosses_zones =
-            self.member().model.borrow().plan.zone != schedule.sidecars[self.connection.sidecar].zone;
+            self.member().model.borrow().parameters.zone != schedule.sidecars[self.connection.sidecar].zone;
         accounting.cross_zone_attempts += u64::from(crosses_zones);
         work
     }
@@ -175,7 +175,7 @@
         if self.connection.over_table_limit {
             return Err(AttemptEnd::Crowded);
         }
-        let error = self.draw(identity, DRAW_ERROR) < self.member().model.borrow().plan.error_rate;
+        let error = self.draw(identity, DRAW_ERROR) < self.member().model.borrow().parameters.error_rate;
         let key = self.arrival(identity).key;
         let offered = self.member().offer(now, |id| Job { id, work, key, error });
         let offered = offered.map_err(|reason| match reason {
@@ -184,7 +184,7 @@
         })?;
         let place = {
             let model = self.member().model.borrow();
-            Place { zone: model.plan.zone, cell: model.plan.cell }
+            Place { zone: model.parameters.zone, cell: model.parameters.cell }
         };
         self.accounting().record_run(&self.environment().schedule, now, identity.attempt, place);
         Ok(offered)
@@ -255,7 +255,7 @@
         Bytes::from(format!(
             "{{\"id\":\"{:016x}\",\"server\":\"{}\",\"attempt\":{},\"price\":{:.2},\"valid\":true}}\n",
             identity.id,
-            self.member().model.borrow().plan.id,
+            self.member().model.borrow().parameters.id,
             identity.attempt.1,
             self.draw(identity, DRAW_PRICE) * 1000.0
         ))
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -3,7 +3,7 @@
 //! Faults are injected on a timeline, and checks (oracles) report every violation of the platform's rules.
 //! The model follows the platform's public documentation and does not depend on the decision module.
 //! A [`scenario::Scenario`] is read from a file, [`schedule::Schedule`] is drawn from it by a seed, with all
-//! arrivals, and [`simulation::Simulation`] plays the schedule over a [`fabric::Fabric`]: in-memory pipes
+//! arrivals, and [`simulation::Simulation`] runs the schedule over a [`fabric::Fabric`]: in-memory pipes
 //! under the runtime's paused clock ([`memory::Memory`]) or sockets on 127.0.0.0/8 ([`fabric::Loopback`]).
 //! The checks use only what the emulator observes on its side of the streams, except for
 //! [`accounting::Rule::Books`], which compares the sidecar's counters with the emulator's own.
@@ -40,29 +40,3 @@
 pub mod schedule;
 pub mod server;
 pub mod simulation;
-
-/// The former name of [`scenario`].
-pub mod day {
-    pub use crate::scenario::*;
-    pub use crate::scenario::{
-        Fault as Trouble, FaultKind as TroubleKind, Scenario as Day, ScenarioError as Faulty,
-    };
-}
-
-/// The former name of [`accounting`].
-pub mod ledger {
-    pub use crate::accounting::RequestAccounting as Ledger;
-    pub use crate::accounting::*;
-}
-
-/// The former name of [`schedule`].
-pub mod plan {
-    pub use crate::schedule::*;
-    pub use crate::schedule::{Schedule as Plan, ScheduledFault as TroublePlan};
-}
-
-/// The former name of [`simulation`].
-pub mod world {
-    pub use crate::simulation::Simulation as World;
-    pub use crate::simulation::*;
-}
--- a/crates/emulator/src/result/flows.rs
+++ b/crates/emulator/src/result/flows.rs
@@ -16,7 +16,7 @@
     pub unasked: u64,
     /// Flows of which at least one try was written completely to a sidecar.
     pub taken: u64,
-    /// Served within the aim of the class, counted from the arrival.
+    /// Served within the latency goal of the class, counted from the arrival.
     pub served: u64,
     /// Served later.
     pub late: u64,
@@ -29,7 +29,7 @@
 /// The outcome of one class or tenant.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Part {
-    /// Share of the requested worth that was served within the aim.
+    /// Share of the requested worth that was served within the latency goal.
     pub service: f64,
     /// Counts of flows.
     pub flows: Flows,
@@ -44,28 +44,28 @@
 pub(super) struct FlowEnd {
     /// Time from the arrival to the response that served it (ms).
     served_at: Option<f64>,
-    /// Whether that was within the aim of the class.
+    /// Whether that was within the latency goal of the class.
     in_time: bool,
     last_try: TryEnd,
-    taken: bool,
+    written: bool,
 }
 
 /// Determines how a flow that arrived at `arrived` (ms) ended from its tries.
 pub(super) fn flow_end(schedule: &Schedule, tries: &[&Try], arrived: f64, flow: usize) -> FlowEnd {
-    let aim = schedule.class(&schedule.arrivals[flow]).aim_ms;
+    let latency_goal = schedule.class(&schedule.arrivals[flow]).aim_ms;
     let served_at = tries.iter().find(|t| t.end == TryEnd::Served).map(|t| t.ended - arrived);
     FlowEnd {
         served_at,
-        in_time: served_at.is_some_and(|at| at <= aim),
+        in_time: served_at.is_some_and(|at| at <= latency_goal),
         last_try: tries.last().map_or(TryEnd::Nothing, |t| t.end),
-        taken: tries.iter().any(|t| t.taken),
+        written: tries.iter().any(|t| t.written),
     }
 }
 
 impl Flows {
     pub(super) fn add(&mut self, end: &FlowEnd) {
         self.asked += 1;
-        self.taken += u64::from(end.taken);
+        self.taken += u64::from(end.written);
         match (end.in_time, end.served_at, end.last_try) {
             (true, ..) => self.served += 1,
             (false, Some(_), _) => self.late += 1,
--- a/crates/emulator/src/result/mod.rs
+++ b/crates/emulator/src/result/mod.rs
@@ -63,7 +63,8 @@
     pub strategy: String,
     /// The seed.
     pub seed: u64,
-    /// Share of the requested worth that was served within the aim of its class, counted from the arrival.
+    /// Share of the requested worth that was served within the latency goal of its class, counted from the
+    /// arrival.
     pub service: f64,
     /// The same in the worst window of ten seconds.
     pub worst_window: f64,
@@ -114,7 +115,7 @@
     }
 }
 
-/// Computes the outcome of a simulation that has been played and its series by second.
+/// Computes the outcome of a simulation that has been run and its series by second.
 pub fn outcome<F: Fabric>(simulation: &Simulation<F>, strategy: &str) -> (Outcome, Vec<Second>) {
     let (schedule, accounting) = (&simulation.schedule, simulation.environment.accounting.borrow());
     let mut series = Series::new(schedule.scenario.length_s.ceil() as usize);
--- a/crates/emulator/src/result/series.rs
+++ b/crates/emulator/src/result/series.rs
@@ -18,7 +18,7 @@
     pub second: usize,
     /// Worth of the flows that arrived in it.
     pub worth: f64,
-    /// Worth of those flows that were served within their aim.
+    /// Worth of those flows that were served within their latency goal.
     pub served: f64,
     /// Tries sent in it.
     pub tries: u64,
--- a/crates/emulator/src/scenario/traffic.rs
+++ b/crates/emulator/src/scenario/traffic.rs
@@ -1,4 +1,4 @@
-//! The tables of a scenario for the traffic and its surroundings: load, classes, tenants, clients, discovery,
+//! The tables of a scenario for the traffic and its environment: load, classes, tenants, clients, discovery,
 //! network and limits.
 
 use super::figures::figures;
--- a/crates/emulator/src/schedule/arrivals.rs
+++ b/crates/emulator/src/schedule/arrivals.rs
@@ -2,7 +2,7 @@
 
 use super::faults::ScheduledFault;
 use super::random::{pick_by_share, Draws, Purpose};
-use super::servers::{capacity_of, ServerPlan, SidecarPlan};
+use super::servers::{capacity_of, ServerParameters, SidecarParameters};
 use crate::scenario::{Class, FaultKind, Scenario};
 use rand::Rng;
 use rand_distr::{Distribution, Exp, LogNormal, Zipf};
@@ -165,8 +165,8 @@
 pub(super) fn draw_arrivals(
     scenario: &Scenario,
     seed: u64,
-    servers: &[ServerPlan],
-    sidecars: &[SidecarPlan],
+    servers: &[ServerParameters],
+    sidecars: &[SidecarParameters],
     faults: &[ScheduledFault],
 ) -> (Vec<f64>, Vec<Arrival>) {
     // Changing the order of the draws changes the schedule of every seed.
--- a/crates/emulator/src/schedule/mod.rs
+++ b/crates/emulator/src/schedule/mod.rs
@@ -15,7 +15,7 @@
     ConnectionTable, Handshake, KeyCache, Probes, Reporting, ShortPauses, Thrashing, WarmUp,
 };
 pub use random::{hashed, lognormal_factor, stream, Purpose};
-pub use servers::{DegradationPlan, ServerPlan, SidecarPlan};
+pub use servers::{DegradationParameters, ServerParameters, SidecarParameters};
 
 use crate::scenario::{Class, Effect, FaultKind, Scenario};
 use arrivals::draw_arrivals;
@@ -65,9 +65,9 @@
     /// The seed.
     pub seed: u64,
     /// Config servers.
-    pub servers: Vec<ServerPlan>,
+    pub servers: Vec<ServerParameters>,
     /// Sidecars.
-    pub sidecars: Vec<SidecarPlan>,
+    pub sidecars: Vec<SidecarParameters>,
     /// The quota of each tenant (flows per second).
     pub quotas: Vec<f64>,
     /// Arrivals in order of time.
@@ -148,7 +148,7 @@
     }
 
     /// Draws a server added during the simulation; `number` counts the added servers from 0.
-    pub fn replacement(&self, number: usize, zone: usize) -> ServerPlan {
+    pub fn replacement(&self, number: usize, zone: usize) -> ServerParameters {
         let mut draws = Draws::new(self.seed, Purpose::Replacements);
         draws.rng.set_word_pos(number as u128 * REPLACEMENT_STREAM_WORDS);
         let total: f64 = self.scenario.kinds.iter().map(|k| k.share).sum();
--- a/crates/emulator/src/schedule/servers.rs
+++ b/crates/emulator/src/schedule/servers.rs
@@ -9,7 +9,7 @@
 
 /// The parameters of a config server. Times are in ms.
 #[derive(Clone, Debug)]
-pub struct ServerPlan {
+pub struct ServerParameters {
     /// The id in the list of discovery.
     pub id: String,
     /// The index of the zone.
@@ -51,12 +51,12 @@
     /// The cache of keys.
     pub key_cache: KeyCache,
     /// Degradation by long queues; `None`: it never degrades.
-    pub degradation: Option<DegradationPlan>,
+    pub degradation: Option<DegradationParameters>,
 }
 
 /// When a server with a long queue degrades, and how it recovers. Times are in ms.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct DegradationPlan {
+pub struct DegradationParameters {
     /// Number of requests held beyond the cores above which the server may degrade.
     pub queue_limit: f64,
     /// Time for which the limit must be exceeded before the server degrades.
@@ -73,7 +73,7 @@
 
 /// The parameters of a sidecar and its application.
 #[derive(Clone, Debug)]
-pub struct SidecarPlan {
+pub struct SidecarParameters {
     /// The name.
     pub name: String,
     /// The index of the zone.
@@ -89,12 +89,12 @@
     number: usize,
     zone: usize,
     kind: usize,
-) -> ServerPlan {
+) -> ServerParameters {
     let (kind_figures, server_figures) = (&scenario.kinds[kind], &scenario.server);
     let speed = draws.draw(kind_figures.speed)
         * lognormal_factor(draws.draw(kind_figures.speed_cv), draws.rng.random());
     let cores = kind_figures.cores;
-    ServerPlan {
+    ServerParameters {
         id: format!("s-{:08x}", draws.rng.random::<u32>()),
         zone,
         cell: (number / scenario.fleet.cell_size) as u64 * 16 + zone as u64,
@@ -148,7 +148,7 @@
             lifetime: draws.draw(server_figures.key_s) * 1e3,
             size: (draws.draw(server_figures.keys_per_core) * cores) as usize,
         },
-        degradation: Some(DegradationPlan {
+        degradation: Some(DegradationParameters {
             queue_limit: draws.draw(server_figures.choke_at) * cores,
             queue_duration: draws.draw(server_figures.choke_over_s) * 1e3,
             slowdown: draws.draw(server_figures.choke_slower),
@@ -161,7 +161,7 @@
 }
 
 /// Draws the initial servers of the scenario.
-pub(super) fn draw_servers(scenario: &Scenario, seed: u64) -> Vec<ServerPlan> {
+pub(super) fn draw_servers(scenario: &Scenario, seed: u64) -> Vec<ServerParameters> {
     let zones = scenario.fleet.zones.len();
     let mut draws = Draws::new(seed, Purpose::Fleet);
     let skew = draws.draw(scenario.fleet.zone_skew);
@@ -176,12 +176,12 @@
 }
 
 /// Capacity of warm servers: work (ms of a standard core) per ms.
-pub(super) fn capacity_of(servers: &[ServerPlan]) -> f64 {
+pub(super) fn capacity_of(servers: &[ServerParameters]) -> f64 {
     servers.iter().map(|s| s.cores * s.speed).sum()
 }
 
 /// Draws the sidecars and their shares of the traffic.
-pub(super) fn draw_sidecars(scenario: &Scenario, seed: u64) -> Vec<SidecarPlan> {
+pub(super) fn draw_sidecars(scenario: &Scenario, seed: u64) -> Vec<SidecarParameters> {
     let mut draws = Draws::new(seed, Purpose::Sidecars);
     let skew = draws.draw(scenario.load.zone_skew);
     let zones = draws.shares(scenario.fleet.zones.len(), skew);
@@ -193,5 +193,5 @@
     let sum: f64 = raw.iter().sum();
     raw.iter_mut().for_each(|s| *s /= sum);
     let named = zone_of_each.into_iter().zip(raw).enumerate();
-    named.map(|(n, (zone, share))| SidecarPlan { name: format!("n{n}"), zone, share }).collect()
+    named.map(|(n, (zone, share))| SidecarParameters { name: format!("n{n}"), zone, share }).collect()
 }
--- a/crates/emulator/src/server/degradation.rs
+++ b/crates/emulator/src/server/degradation.rs
@@ -22,20 +22,22 @@
     /// Enters the degraded state once the queue has exceeded its limit for long enough, and leaves it after a
     /// nearly idle period or the maximum duration.
     pub(super) fn update_queue_state(&mut self) {
-        let Some(plan) = self.plan.degradation else { return };
-        let queued = (self.held() as f64 - self.plan.cores).max(0.0);
+        let Some(parameters) = self.parameters.degradation else { return };
+        let queued = (self.held() as f64 - self.parameters.cores).max(0.0);
         let busy = self.busy_share();
         let now = self.now;
         self.queue_state = match self.queue_state {
-            QueueState::Normal if queued > plan.queue_limit => QueueState::OverLimit(now),
-            QueueState::OverLimit(_) if queued <= plan.queue_limit => QueueState::Normal,
-            QueueState::OverLimit(since) if now - since >= plan.queue_duration => {
+            QueueState::Normal if queued > parameters.queue_limit => QueueState::OverLimit(now),
+            QueueState::OverLimit(_) if queued <= parameters.queue_limit => QueueState::Normal,
+            QueueState::OverLimit(since) if now - since >= parameters.queue_duration => {
                 self.degradations += 1;
                 QueueState::Degraded(now, None)
             }
             QueueState::Degraded(since, idle) => {
-                let idle = (busy < plan.idle_below).then(|| idle.unwrap_or(now));
-                if now - since >= plan.max_duration || idle.is_some_and(|at| now - at >= plan.idle_duration) {
+                let idle = (busy < parameters.idle_below).then(|| idle.unwrap_or(now));
+                if now - since >= parameters.max_duration
+                    || idle.is_some_and(|at| now - at >= parameters.idle_duration)
+                {
                     QueueState::Normal
                 } else {
                     QueueState::Degraded(since, idle)
@@ -47,6 +49,6 @@
 
     /// The busy share of the cores.
     pub(super) fn busy_share(&self) -> f64 {
-        (self.running.len() as f64 / self.plan.cores).min(1.0)
+        (self.running.len() as f64 / self.parameters.cores).min(1.0)
     }
 }
--- a/crates/emulator/src/server/mod.rs
+++ b/crates/emulator/src/server/mod.rs
@@ -14,7 +14,7 @@
 pub use report::Report;
 
 use crate::scenario::Cancel;
-use crate::schedule::{hashed, ServerPlan};
+use crate::schedule::{hashed, ServerParameters};
 use degradation::QueueState;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub struct Server {
     /// The parameters.
-    pub plan: ServerPlan,
+    pub parameters: ServerParameters,
     /// The life-cycle phase.
     pub phase: Phase,
     seed: u64,
@@ -88,10 +88,10 @@
 
 impl Server {
     /// Creates a warm server that has been running for a long time.
-    pub fn new(plan: ServerPlan, seed: u64, mean_work: f64) -> Server {
-        let first = plan.pauses.interval * hashed(seed, &[DRAW_FIRST_PAUSE]);
+    pub fn new(parameters: ServerParameters, seed: u64, mean_work: f64) -> Server {
+        let first = parameters.pauses.interval * hashed(seed, &[DRAW_FIRST_PAUSE]);
         Server {
-            plan,
+            parameters,
             phase: Phase::Up,
             seed,
             now: 0.0,
@@ -118,16 +118,16 @@
 
     /// Starts a new process, cold and empty.
     pub fn start(&mut self, now: f64) {
-        let plan = self.plan.clone();
+        let parameters = self.parameters.clone();
         let (seed, slowdown, degradations) = (self.seed, self.slowdown, self.degradations);
         *self = Server {
             now,
             started: Some(now),
             slowdown,
             degradations,
-            ..Server::new(plan, seed, self.mean_work)
+            ..Server::new(parameters, seed, self.mean_work)
         };
-        self.next_pause = now + self.plan.pauses.interval.max(1.0);
+        self.next_pause = now + self.parameters.pauses.interval.max(1.0);
         self.reported_figures = [(now, Report::default()); 2];
     }
 
@@ -186,8 +186,9 @@
             if self.now >= self.next_pause && self.phase != Phase::Down {
                 // Short pauses, like those of a garbage collector; the draw depends on the time of the pause.
                 let draw = hashed(self.seed, &[DRAW_PAUSE, self.now as u64]);
-                self.paused_until = self.paused_until.max(self.now + self.plan.pauses.length * (0.5 + draw));
-                self.next_pause = self.paused_until + self.plan.pauses.interval.max(1.0) * (0.5 + draw);
+                self.paused_until =
+                    self.paused_until.max(self.now + self.parameters.pauses.length * (0.5 + draw));
+                self.next_pause = self.paused_until + self.parameters.pauses.interval.max(1.0) * (0.5 + draw);
             }
             if step >= now {
                 break;
@@ -203,7 +204,7 @@
         let service_rate = self.service_rate();
         if self.now >= self.paused_until {
             self.background_work =
-                (self.background_work - passed * self.capacity() / self.plan.cores).max(0.0);
+                (self.background_work - passed * self.capacity() / self.parameters.cores).max(0.0);
         }
         self.refresh_report(until);
         self.attained += service_rate * passed;
@@ -224,7 +225,7 @@
 
     /// Starts queued requests while there are free slots.
     fn start_waiting(&mut self) {
-        while self.running.len() < self.plan.slots {
+        while self.running.len() < self.parameters.slots {
             let Some(next) = self.waiting.pop_front() else { break };
             self.running.push(AcceptedJob { end: self.attained + next.end, ..next });
         }
@@ -237,7 +238,7 @@
             Phase::Draining => return Err(Rejection::Draining),
             Phase::Up => {}
         }
-        if self.held() >= self.plan.slots + self.plan.queue {
+        if self.held() >= self.parameters.slots + self.parameters.queue {
             return Err(Rejection::Full);
         }
         let work = AcceptedJob { id: job.id, end: self.effective_work(job), error: job.error };
@@ -249,7 +250,7 @@
 
     /// The work of a job after the saving by a cached key; caches the key or renews it.
     fn effective_work(&mut self, job: Job) -> f64 {
-        let cache = self.plan.key_cache;
+        let cache = self.parameters.key_cache;
         let Some(key) = job.key else { return job.work };
         let cached =
             self.key_requested_at.insert(key, self.now).is_some_and(|at| self.now - at <= cache.lifetime);
@@ -260,15 +261,15 @@
         job.work * if cached { 1.0 - cache.saving } else { 1.0 }
     }
 
-    /// Cancels a job whose sidecar closed the connection, as far as [`ServerPlan::cancel`] says; returns whether
-    /// the job was removed.
+    /// Cancels a job whose sidecar closed the connection, as far as [`ServerParameters::cancel`] says; returns
+    /// whether the job was removed.
     pub fn cancel_job(&mut self, id: u64) -> bool {
-        if self.plan.cancel == Cancel::None {
+        if self.parameters.cancel == Cancel::None {
             return false;
         }
         let before = self.held();
         self.waiting.retain(|w| w.id != id);
-        if self.plan.cancel == Cancel::All {
+        if self.parameters.cancel == Cancel::All {
             self.running.retain(|w| w.id != id);
             self.start_waiting();
         }
--- a/crates/emulator/src/server/report.rs
+++ b/crates/emulator/src/server/report.rs
@@ -17,7 +17,7 @@
 impl Server {
     /// Takes new figures if the refresh period has passed.
     pub(super) fn refresh_report(&mut self, now: f64) {
-        let period = self.plan.reporting.period;
+        let period = self.parameters.reporting.period;
         if now - self.reported_figures[1].0 >= period {
             let (held, queue) = (self.held() as f64, self.waiting.len() as f64);
             let current = Report { inflight: held, queue, util: self.busy_share() };
@@ -28,7 +28,7 @@
     /// The current report: delayed figures times a noise factor computed from `draw` (0 to 1).
     pub fn report(&mut self, draw: f64) -> Report {
         self.refresh_report(self.now);
-        let Reporting { delay, noise, .. } = self.plan.reporting;
+        let Reporting { delay, noise, .. } = self.parameters.reporting;
         let [(_, before), (at, last)] = self.reported_figures;
         let visible = if self.now - at >= delay { last } else { before };
         let noise_factor = lognormal_factor(noise, draw);
--- a/crates/emulator/src/server/speed.rs
+++ b/crates/emulator/src/server/speed.rs
@@ -12,7 +12,7 @@
     /// The share of its capacity that a server has during warm-up. It grows linearly with time or with served
     /// requests, whichever is faster.
     pub fn warm_share(&self) -> f64 {
-        let WarmUp { initial_share, time, requests } = self.plan.warm_up;
+        let WarmUp { initial_share, time, requests } = self.parameters.warm_up;
         let Some(started) = self.started else { return 1.0 };
         let by_time = (self.now - started) / time.max(1.0);
         let by_work = if requests > 0.0 { self.served / requests } else { 0.0 };
@@ -24,15 +24,17 @@
         if self.phase == Phase::Down || self.failed_by_overload {
             return 0.0;
         }
-        let plan = &self.plan;
-        let excess_load = (self.held() as f64 / plan.cores / plan.thrashing.threshold - 1.0).max(0.0);
-        let table_cost = (self.connections as f64 / plan.connection_table.size.max(1) as f64).min(1.0)
-            * plan.connection_table.full_cost;
-        let slowdown = match (self.queue_state, plan.degradation) {
+        let parameters = &self.parameters;
+        let excess_load =
+            (self.held() as f64 / parameters.cores / parameters.thrashing.threshold - 1.0).max(0.0);
+        let table_cost = (self.connections as f64 / parameters.connection_table.size.max(1) as f64).min(1.0)
+            * parameters.connection_table.full_cost;
+        let slowdown = match (self.queue_state, parameters.degradation) {
             (QueueState::Degraded(..), Some(degradation)) => degradation.slowdown,
             _ => 1.0,
         };
-        plan.cores * plan.speed * self.warm_share() / (1.0 + plan.thrashing.loss * excess_load)
+        parameters.cores * parameters.speed * self.warm_share()
+            / (1.0 + parameters.thrashing.loss * excess_load)
             * (1.0 - table_cost)
             / slowdown
             / self.slowdown
@@ -41,7 +43,7 @@
     /// The response time (ms) of a job with this work if no other job arrived after it; infinite if the server is
     /// down or draining.
     pub fn forecast(&self, work: f64) -> f64 {
-        let (capacity, cores) = (self.capacity(), self.plan.cores);
+        let (capacity, cores) = (self.capacity(), self.parameters.cores);
         if capacity <= 0.0 || self.phase != Phase::Up {
             return f64::INFINITY;
         }
@@ -58,9 +60,9 @@
         }
         // Background work shares the cores with the requests and takes at most one core, or half of a smaller
         // server.
-        let cores = self.plan.cores
-            - if self.background_work > 0.0 { 1.0_f64.min(self.plan.cores / 2.0) } else { 0.0 };
-        self.capacity() / self.plan.cores * (cores / busy).min(1.0)
+        let cores = self.parameters.cores
+            - if self.background_work > 0.0 { 1.0_f64.min(self.parameters.cores / 2.0) } else { 0.0 };
+        self.capacity() / self.parameters.cores * (cores / busy).min(1.0)
     }
 
     /// Adds work sent to the server. Returns true if the server is cold and fails by overload: it was sent more
@@ -75,7 +77,7 @@
             self.cold_arrivals.pop_front();
         }
         let sum: f64 = self.cold_arrivals.iter().map(|(_, w)| w).sum();
-        let capacity = self.plan.cores * self.plan.speed * self.warm_share();
+        let capacity = self.parameters.cores * self.parameters.speed * self.warm_share();
         self.failed_by_overload =
             sum > multiple * capacity * window + OVERLOAD_TOLERANCE_REQUESTS * self.mean_work;
         self.failed_by_overload
--- a/crates/emulator/src/simulation/faults.rs
+++ b/crates/emulator/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Fault injection: plays each scheduled fault at its time.
+//! Fault injection: injects each scheduled fault at its time.
 
 use super::Simulation;
 use crate::discovery::{ListedStatus, ServiceState};
@@ -19,8 +19,8 @@
 const DRAW_PAUSE_INTERVAL: u64 = 45;
 
 impl<F: Fabric> Simulation<F> {
-    /// Plays the fault with this number from its start to its end.
-    pub(super) async fn play_fault(self: Rc<Self>, number: usize) {
+    /// Injects the fault with this number at its start and ends it at its end.
+    pub(super) async fn inject_fault(self: Rc<Self>, number: usize) {
         let fault = self.schedule.faults[number].clone();
         self.sleep_until(self.simulation_time(fault.from)).await;
         let until = self.simulation_time(fault.until);
@@ -38,7 +38,8 @@
             }
             FaultKind::ZoneLoss => {
                 let all = self.members();
-                let lost = all.into_iter().filter(|m| m.model.borrow().plan.zone == fault.zone).collect();
+                let lost =
+                    all.into_iter().filter(|m| m.model.borrow().parameters.zone == fault.zone).collect();
                 self.take_down(&fault, lost, until).await;
             }
             FaultKind::Vanish => {
@@ -175,7 +176,7 @@
         while self.now() + interval < until {
             let in_service: Vec<_> = self.members().into_iter().filter(|m| m.in_service()).collect();
             let Some(oldest) = in_service.first().cloned() else { return };
-            let zone = oldest.model.borrow().plan.zone;
+            let zone = oldest.model.borrow().parameters.zone;
             let reuse_address = round % 2 == 1;
             let simulation = self.clone();
             spawn_local(async move {
--- a/crates/emulator/src/simulation/mod.rs
+++ b/crates/emulator/src/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! The simulation of a scenario: it owns clients, servers, discovery and sidecars, and plays the schedule.
+//! The simulation of a scenario: it owns clients, servers, discovery and sidecars, and runs the schedule.
 
 mod config;
 mod faults;
@@ -128,8 +128,8 @@
         self.members.all()
     }
 
-    /// Plays the scenario to its end; returns the error of the first sidecar that could not be started.
-    pub async fn play(self: &Rc<Self>) -> Result<(), String> {
+    /// Runs the scenario to its end; returns the error of the first sidecar that could not be started.
+    pub async fn run(self: &Rc<Self>) -> Result<(), String> {
         self.start_services();
         tokio::task::yield_now().await;
         self.start_all().await?;
@@ -137,7 +137,7 @@
         let checks = spawn_local(self.clone().check_processes());
         let sampling = spawn_local(self.clone().take_samples());
         let faults: Vec<_> =
-            (0..self.schedule.faults.len()).map(|t| spawn_local(self.clone().play_fault(t))).collect();
+            (0..self.schedule.faults.len()).map(|t| spawn_local(self.clone().inject_fault(t))).collect();
         self.sleep_until(self.scenario_start()).await;
         self.clients.clone().run().await;
         self.ending.set(true);
--- a/crates/emulator/src/simulation/observers.rs
+++ b/crates/emulator/src/simulation/observers.rs
@@ -89,8 +89,8 @@
             if up {
                 sample.slow += usize::from(model.is_degraded());
                 sample.capacity += model.capacity() / warm_capacity;
-                cores += model.plan.cores;
-                idle += (model.plan.cores - held).max(0.0);
+                cores += model.parameters.cores;
+                idle += (model.parameters.cores - held).max(0.0);
             }
         }
         sample.idle = if cores > 0.0 { idle / cores } else { 0.0 };
@@ -114,16 +114,18 @@
 
     /// Describes each difference between a sidecar's counters and the request accounting.
     fn counter_differences(&self, sidecar: usize, text: &str) -> Vec<String> {
-        let (mut taken, mut served, mut refused) = (0, 0, 0);
+        let (mut written, mut served, mut refused) = (0, 0, 0);
         let accounting = self.environment.accounting.borrow();
-        let of_sidecar =
-            accounting.tries.iter().filter(|t| self.schedule.arrivals[t.flow].sidecar == sidecar && t.taken);
+        let of_sidecar = accounting
+            .tries
+            .iter()
+            .filter(|t| self.schedule.arrivals[t.flow].sidecar == sidecar && t.written);
         for record in of_sidecar {
-            taken += 1;
+            written += 1;
             served += u64::from(record.end == TryEnd::Served);
             refused += u64::from(matches!(record.end, TryEnd::Refused(_)));
         }
-        let pairs = [("flows_taken", taken), ("flows_served", served), ("flows_refused", refused)];
+        let pairs = [("flows_taken", written), ("flows_served", served), ("flows_refused", refused)];
         let differ = pairs.into_iter().filter(|(name, counted)| counter(text, name) != *counted);
         differ
             .map(|(name, counted)| {
--- a/crates/emulator/src/simulation/servers.rs
+++ b/crates/emulator/src/simulation/servers.rs
@@ -67,9 +67,12 @@
     /// Adds a server with a new id, at a new address or at the address of a server that has gone.
     pub(super) fn add_server(self: &Rc<Self>, zone: usize, address_index: Option<usize>) {
         let number = self.members.count();
-        let plan = self.schedule.replacement(number - self.schedule.servers.len(), zone);
-        let model =
-            Server::new(plan, server_seed(&self.schedule, DRAW_ADDED_SERVER_SEED, number), self.mean_work);
+        let parameters = self.schedule.replacement(number - self.schedule.servers.len(), zone);
+        let model = Server::new(
+            parameters,
+            server_seed(&self.schedule, DRAW_ADDED_SERVER_SEED, number),
+            self.mean_work,
+        );
         let member = Member::new(number, address_index.unwrap_or(number), model);
         self.members.push(member.clone());
         member.update(self.now(), |m| m.start(self.now()));
--- a/crates/emulator/tests/oracles.rs
+++ b/crates/emulator/tests/oracles.rs
@@ -77,7 +77,7 @@
     /// Addresses of the servers in service, according to the list.
     targets: RefCell<Vec<SocketAddr>>,
     held_streams: RefCell<Vec<MemoryStream>>,
-    taken: Cell<u64>,
+    accepted: Cell<u64>,
     served: Cell<u64>,
     refused: Cell<u64>,
     last_body: RefCell<Vec<u8>>,
@@ -91,7 +91,7 @@
             held: self.held.clone(),
             targets: RefCell::default(),
             held_streams: RefCell::default(),
-            taken: Cell::new(0),
+            accepted: Cell::new(0),
             served: Cell::new(0),
             refused: Cell::new(0),
             last_body: RefCell::default(),
@@ -190,7 +190,7 @@
                     let off = u64::from(self.defect == Defect::WrongCounters);
                     let text = format!(
                         "flows_taken {}\nflows_served {}\nflows_refused {}\n",
-                        self.taken.get() + off,
+                        self.accepted.get() + off,
                         self.served.get(),
                         self.refused.get()
                     );
@@ -219,8 +219,8 @@
                 _ => answer_bytes(400, &[], b""),
             });
         }
-        self.taken.set(self.taken.get() + 1);
-        let number = self.taken.get();
+        self.accepted.set(self.accepted.get() + 1);
+        let number = self.accepted.get();
         let is_seventh = number % 7 == 0;
         match self.defect {
             Defect::NoAnswer if is_seventh => return std::future::pending().await,
@@ -317,7 +317,7 @@
                    [clients]\nretries = 0\n[limits]\nsockets = 300\n[discovery]\nnotice_s = 0.2\n[[kind]]\nname = 'm'\n\
                    cold_from = 0.12\ncold_s = 20\nwarm_requests = 0\n";
 
-fn play(defect: Defect, extra: &str) -> Outcome {
+fn run(defect: Defect, extra: &str) -> Outcome {
     let scenario = Scenario::parse("oracles", &format!("{SCENARIO}{extra}")).expect("a valid scenario");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     tokio::task::LocalSet::new().block_on(&runtime.expect("a runtime"), async {
@@ -327,7 +327,7 @@
             Rc::new(FakeSidecar { memory: memory.clone(), defect, held, task: RefCell::default() });
         let simulation =
             Simulation::new(memory, Schedule::draw(&scenario, 5), Addresses { port: 7070 }, 1.8e12, sidecars);
-        simulation.play().await.expect("the simulation starts");
+        simulation.run().await.expect("the simulation starts");
         outcome(&simulation, "fake sidecar").0
     })
 }
@@ -342,14 +342,14 @@
 const WITH_ADDED_SERVERS: &str = "[[trouble]]\nkind = 'churn'\nat_s = 0.5\nlen_s = 5\nsize = 30\n";
 
 fn assert_violates(defect: Defect, extra: &str, rule: Rule) {
-    let outcome = play(defect, extra);
+    let outcome = run(defect, extra);
     assert!(broken_rules(&outcome).contains(&rule), "{defect:?}: {:?}", outcome.violation_counts);
 }
 
 #[test]
 fn a_sidecar_without_defect_violates_no_rule() {
     for extra in ["", WITH_DRAINS, WITH_MALFORMED_REQUESTS, KEYED] {
-        let outcome = play(Defect::None, extra);
+        let outcome = run(Defect::None, extra);
         assert_eq!(outcome.violations.len(), 0, "{extra}: {:?}", outcome.violations.first());
         assert!(outcome.flows.taken > 50 && outcome.service > 0.5, "{extra}: {:?}", outcome.flows);
     }
@@ -380,7 +380,7 @@
     assert_violates(Defect::LateRepeat, KEYED, Rule::SecondRun);
     assert_violates(Defect::MissingKey, KEYED, Rule::Unknown);
     // Where all servers deduplicate, a repeat at any of them is harmless.
-    let outcome = play(Defect::RepeatElsewhere, KEYED_BY_ALL);
+    let outcome = run(Defect::RepeatElsewhere, KEYED_BY_ALL);
     assert!(!broken_rules(&outcome).contains(&Rule::SecondRun), "{:?}", outcome.violations.first());
 }
 
--- a/crates/emulator/tests/server.rs
+++ b/crates/emulator/tests/server.rs
@@ -3,20 +3,20 @@
 
 use roseproxy_emulator::scenario::{Cancel, Scenario};
 use roseproxy_emulator::schedule::{
-    ConnectionTable, DegradationPlan, KeyCache, Reporting, Schedule, ShortPauses, Thrashing, WarmUp,
+    ConnectionTable, DegradationParameters, KeyCache, Reporting, Schedule, ShortPauses, Thrashing, WarmUp,
 };
 use roseproxy_emulator::server::{Job, Phase, Rejection, Server};
 
 fn server() -> Server {
     let scenario = Scenario::parse("test", "name = 'test'").expect("a valid scenario");
-    let mut plan = Schedule::draw(&scenario, 3).servers[0].clone();
-    (plan.cores, plan.speed, plan.slots, plan.queue) = (2.0, 1.0, 4, 6);
-    plan.thrashing = Thrashing { loss: 0.0, threshold: 10.0 };
-    plan.pauses = ShortPauses { interval: 1e9, length: 0.0 };
-    plan.connection_table = ConnectionTable { size: 100, full_cost: 0.0 };
-    plan.key_cache = KeyCache { saving: 0.5, lifetime: 1000.0, size: 8 };
-    plan.degradation = None;
-    Server::new(plan, 1, 100.0)
+    let mut parameters = Schedule::draw(&scenario, 3).servers[0].clone();
+    (parameters.cores, parameters.speed, parameters.slots, parameters.queue) = (2.0, 1.0, 4, 6);
+    parameters.thrashing = Thrashing { loss: 0.0, threshold: 10.0 };
+    parameters.pauses = ShortPauses { interval: 1e9, length: 0.0 };
+    parameters.connection_table = ConnectionTable { size: 100, full_cost: 0.0 };
+    parameters.key_cache = KeyCache { saving: 0.5, lifetime: 1000.0, size: 8 };
+    parameters.degradation = None;
+    Server::new(parameters, 1, 100.0)
 }
 
 fn job(id: u64, work: f64) -> Job {
@@ -65,7 +65,7 @@
 #[test]
 fn a_started_server_warms_up_by_time_or_served_requests() {
     let mut server = server();
-    server.plan.warm_up = WarmUp { initial_share: 0.25, time: 1000.0, requests: 2.0 };
+    server.parameters.warm_up = WarmUp { initial_share: 0.25, time: 1000.0, requests: 2.0 };
     server.start(0.0);
     assert_eq!(server.warm_share(), 0.25);
     ends(&mut server, 500.0);
@@ -79,7 +79,7 @@
 #[test]
 fn a_cold_server_fails_when_overloaded() {
     let mut server = server();
-    server.plan.warm_up = WarmUp { initial_share: 0.25, time: 10_000.0, requests: 0.0 };
+    server.parameters.warm_up = WarmUp { initial_share: 0.25, time: 10_000.0, requests: 0.0 };
     server.start(0.0);
     // The capacity is 0.5 per ms: 4 times that over 1500 ms is 3000, plus a tolerance of 400.
     let accepted = (0..40).take_while(|_| !server.overloads_when_cold(100.0, 4.0, 1500.0)).count();
@@ -90,7 +90,7 @@
 #[test]
 fn a_long_queue_degrades_a_server_until_it_is_nearly_idle() {
     let mut server = server();
-    server.plan.degradation = Some(DegradationPlan {
+    server.parameters.degradation = Some(DegradationParameters {
         queue_limit: 3.0,
         queue_duration: 500.0,
         slowdown: 2.0,
@@ -123,7 +123,7 @@
         [(Cancel::None, false, false), (Cancel::Queued, false, true), (Cancel::All, true, true)]
     {
         let mut server = server();
-        (server.plan.slots, server.plan.cancel) = (1, cancel);
+        (server.parameters.slots, server.parameters.cancel) = (1, cancel);
         server.offer(job(1, 100.0)).expect("a free slot");
         server.offer(job(2, 100.0)).expect("a free slot");
         assert_eq!((server.cancel_job(2), server.cancel_job(1)), (second, first), "{cancel:?}");
@@ -134,7 +134,7 @@
 #[test]
 fn reports_are_delayed() {
     let mut server = server();
-    server.plan.reporting = Reporting { period: 100.0, delay: 50.0, noise: 0.0 };
+    server.parameters.reporting = Reporting { period: 100.0, delay: 50.0, noise: 0.0 };
     (0..3).for_each(|id| server.offer(job(id, 1e6)).expect("a free slot"));
     ends(&mut server, 120.0);
     assert_eq!(server.report(0.5).inflight, 0.0, "taken at 100 ms at the earliest, reported 50 ms later");
--- a/crates/lab/src/claims.rs
+++ b/crates/lab/src/claims.rs
@@ -27,7 +27,8 @@
 struct Claim {
     name: String,
     /// Scenario file, relative to the claims file.
-    day: Option<PathBuf>,
+    #[serde(rename = "day")]
+    scenario: Option<PathBuf>,
     /// Instead of a scenario: the file of a scale experiment, run in virtual time.
     scale: Option<PathBuf>,
     #[serde(default)]
@@ -89,8 +90,8 @@
     set: &BTreeMap<String, toml::Value>,
     seeds: [u64; 2],
 ) -> Result<Vec<f64>, String> {
-    let scenario = match (&claim.day, &claim.scale) {
-        (Some(day), None) => load_scenario_with(&base.join(day), set)?,
+    let scenario = match (&claim.scenario, &claim.scale) {
+        (Some(path), None) => load_scenario_with(&base.join(path), set)?,
         (None, Some(scale)) => return scale_values(claim, &base.join(scale), set, seeds),
         _ => return Err(format!("claim {}: needs either a day or a scale experiment", claim.name)),
     };
--- a/crates/lab/src/live.rs
+++ b/crates/lab/src/live.rs
@@ -1,4 +1,4 @@
-//! LiveTable table of a scenario that runs on real sockets: request row per second, and a progress bar.
+//! Live table of a scenario that runs on real sockets: a row per second, and a progress bar.
 
 use indicatif::{ProgressBar, ProgressStyle};
 use roseproxy_emulator::accounting::TryEnd;
--- a/crates/lab/src/real_sockets.rs
+++ b/crates/lab/src/real_sockets.rs
@@ -29,7 +29,7 @@
         let simulation = Simulation::new(Loopback, schedule, Addresses { port }, epoch, sidecars.clone());
         let table =
             live_table.then(|| tokio::task::spawn_local(LiveTable::default().show(simulation.clone())));
-        simulation.play().await?;
+        simulation.run().await?;
         table.iter().for_each(|task| task.abort());
         let (result, series) = then(&simulation);
         let (cpu_s, memory_mb) = sidecars.stop_all();
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -273,44 +273,44 @@
     variants: &[&str],
     results: &BTreeMap<(String, String), Vec<serde_json::Value>>,
 ) -> Result<String, String> {
-    let mut days: Vec<&String> = results.keys().map(|(day, _)| day).collect();
-    days.dedup();
+    let mut scenarios: Vec<&String> = results.keys().map(|(scenario, _)| scenario).collect();
+    scenarios.dedup();
     let estimates: BTreeMap<(&str, &str), _> = results
         .iter()
-        .map(|((day, variant), values)| {
+        .map(|((scenario, variant), values)| {
             let metric_values: Vec<f64> = values.iter().filter_map(|v| metric_value(v, metric)).collect();
-            ((day.as_str(), variant.as_str()), bootstrap(&metric_values, mean))
+            ((scenario.as_str(), variant.as_str()), bootstrap(&metric_values, mean))
         })
         .collect();
     let top =
         estimates.values().map(|e| if e.high.is_finite() { e.high } else { e.value }).fold(0.0, f64::max)
             * 1.08;
     let group_width = variants.len() as f64 + 1.0;
-    let width = (160 + 14 * days.len() as u32 * (variants.len() as u32 + 1)).clamp(700, 2400);
+    let width = (160 + 14 * scenarios.len() as u32 * (variants.len() as u32 + 1)).clamp(700, 2400);
     render_svg((width, 420), |area| {
         let mut chart = ChartBuilder::on(area)
             .caption(format!("{name}: {metric}"), TITLE_FONT)
             .margin(8)
             .x_label_area_size(40)
             .y_label_area_size(52)
-            .build_cartesian_2d(0.0..group_width * days.len() as f64, 0.0..top.max(1e-6))?;
-        let labels = days.clone();
+            .build_cartesian_2d(0.0..group_width * scenarios.len() as f64, 0.0..top.max(1e-6))?;
+        let labels = scenarios.clone();
         chart.configure_mesh().disable_x_mesh().x_labels(0).y_desc(metric).label_style(LABEL_FONT).draw()?;
-        for (group, day) in labels.iter().enumerate() {
+        for (group, scenario) in labels.iter().enumerate() {
             let at = (group as f64 * group_width + 0.3, -top * 0.02);
-            chart.draw_series([Text::new((*day).clone(), at, (FONT_FAMILY, 12))])?;
+            chart.draw_series([Text::new((*scenario).clone(), at, (FONT_FAMILY, 12))])?;
         }
         for (bar, variant) in variants.iter().enumerate() {
             let colour = series_colour(bar);
-            let bars = days.iter().enumerate().filter_map(|(group, day)| {
-                let estimate = estimates.get(&(day.as_str(), *variant))?;
+            let bars = scenarios.iter().enumerate().filter_map(|(group, scenario)| {
+                let estimate = estimates.get(&(scenario.as_str(), *variant))?;
                 let x = group as f64 * group_width + bar as f64 + 0.5;
                 Some(Rectangle::new([(x, 0.0), (x + 0.9, estimate.value)], colour.filled()))
             });
             let drawn = chart.draw_series(bars)?.label(*variant);
             drawn.legend(move |(x, y)| Rectangle::new([(x, y - 5), (x + 12, y + 5)], colour.filled()));
-            let whiskers = days.iter().enumerate().filter_map(|(group, day)| {
-                let estimate = estimates.get(&(day.as_str(), *variant))?;
+            let whiskers = scenarios.iter().enumerate().filter_map(|(group, scenario)| {
+                let estimate = estimates.get(&(scenario.as_str(), *variant))?;
                 let x = group as f64 * group_width + bar as f64 + 0.95;
                 let (low, high) = (estimate.low.max(0.0), estimate.high.min(top));
                 Some(PathElement::new([(x, low), (x, high)], BLACK))
--- a/crates/lab/src/scale/discovery.rs
+++ b/crates/lab/src/scale/discovery.rs
@@ -72,7 +72,7 @@
     revision: watch::Sender<u64>,
     /// Listings of the current revision, by region and by the revision after which they begin (`None`: whole list).
     listings: RefCell<HashMap<(usize, Option<u64>), Listing>>,
-    /// When the service has finished the calls that it has taken.
+    /// When the service has finished the calls that it has accepted.
     free_at_ms: Cell<f64>,
     /// The network path to discovery from each region.
     pub links: Vec<watch::Sender<Link>>,
--- a/crates/lab/src/scale/figures.rs
+++ b/crates/lab/src/scale/figures.rs
@@ -117,7 +117,7 @@
     pub quiet: Window,
     /// The window from the first fault to the end.
     pub fault: Option<Window>,
-    /// How often means rule was broken.
+    /// How often each rule was broken.
     pub violation_counts: BTreeMap<String, u64>,
     /// Description of the first case of each broken rule.
     pub first_violations: BTreeMap<String, String>,
--- a/crates/lab/src/scale/metrics.rs
+++ b/crates/lab/src/scale/metrics.rs
@@ -1,4 +1,4 @@
-//! Counts that are taken while an experiment runs.
+//! Counts that are collected while an experiment runs.
 
 use serde::Serialize;
 use std::ops::{AddAssign, Sub};
--- a/crates/lab/src/strategies.rs
+++ b/crates/lab/src/strategies.rs
@@ -202,11 +202,11 @@
                 self.requests.entry(id).and_modify(|h| h.tried.push(server));
                 out.push(Action::Send { request: id, server, timeout: None });
             }
-            None => self.give_up(id, out),
+            None => self.refuse_or_fail(id, out),
         }
     }
 
-    fn give_up(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    fn refuse_or_fail(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(open_request) = self.requests.remove(&id) else { return };
         let may_refuse =
             !open_request.may_have_run || self.settings.classes[open_request.class].effect == Effect::Safe;
@@ -279,7 +279,7 @@
                 if may_retry {
                     self.send_attempt(request, out);
                 } else {
-                    self.give_up(request, out);
+                    self.refuse_or_fail(request, out);
                 }
             }
             Event::ClientLeft { request } => drop(self.requests.remove(&request)),
--- a/crates/lab/src/sweep.rs
+++ b/crates/lab/src/sweep.rs
@@ -20,7 +20,8 @@
     /// Name of the experiment, as shown in the table and the chart.
     pub name: String,
     /// Scenario files, relative to the experiment file.
-    pub days: Vec<PathBuf>,
+    #[serde(rename = "days")]
+    pub scenarios: Vec<PathBuf>,
     /// First and last seed.
     pub seeds: [u64; 2],
     /// Metrics in the table, as paths in `result.json`.
@@ -130,13 +131,13 @@
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
     let experiment: Experiment = toml::from_str(&text).map_err(|e| format!("{name}: {e}"))?;
     let [first, last] = experiment.seeds;
-    if first > last || experiment.variants.is_empty() || experiment.days.is_empty() {
+    if first > last || experiment.variants.is_empty() || experiment.scenarios.is_empty() {
         return Err(format!("{name}: needs a first seed up to the last, a variant and a day"));
     }
     let base = file.parent().unwrap_or(Path::new("."));
     let mut tasks = Vec::new();
     for variant in &experiment.variants {
-        for file in &experiment.days {
+        for file in &experiment.scenarios {
             let scenario = load_scenario_with(&base.join(file), &variant.set)?;
             for seed in first..=last {
                 let options = RunOptions {
@@ -162,7 +163,7 @@
     }
     let mut table = format!("| day | variant | {} |\n", experiment.metrics.join(" | "));
     let _ = writeln!(table, "|---|---|{}", "---|".repeat(experiment.metrics.len()));
-    for ((day, variant), values) in &outcomes {
+    for ((scenario, variant), values) in &outcomes {
         let cells = experiment.metrics.iter().map(|metric| {
             let metric_values: Vec<f64> = values.iter().filter_map(|v| metric_value(v, metric)).collect();
             let estimate = bootstrap(&metric_values, mean);
@@ -172,7 +173,7 @@
                 _ => format!("{:.3} [{:.3}, {:.3}]", estimate.value, estimate.low, estimate.high),
             }
         });
-        let _ = writeln!(table, "| {day} | {variant} | {} |", cells.collect::<Vec<_>>().join(" | "));
+        let _ = writeln!(table, "| {scenario} | {variant} | {} |", cells.collect::<Vec<_>>().join(" | "));
     }
     let seeds = last - first + 1;
     let heading =
@@ -198,9 +199,9 @@
                 let text = std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
                 let value: serde_json::Value =
                     serde_json::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))?;
-                let day = value.get("day").and_then(|d| d.as_str()).unwrap_or_default().to_owned();
+                let scenario = value.get("day").and_then(|d| d.as_str()).unwrap_or_default().to_owned();
                 let seed = value.get("seed").and_then(serde_json::Value::as_u64).unwrap_or(0);
-                found.insert((day, seed), value);
+                found.insert((scenario, seed), value);
             }
         }
     }
@@ -213,22 +214,25 @@
 /// Compares two folders of results, paired by scenario and seed.
 pub fn compare(a: &Path, b: &Path, metric: &str) -> Result<String, String> {
     let (of_a, of_b) = (load_results(a)?, load_results(b)?);
-    let mut by_day: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
+    let mut by_scenario: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
     for (key, value) in &of_a {
         let pair = of_b
             .get(key)
             .and_then(|other| Some((metric_value(value, metric)?, metric_value(other, metric)?)));
         if let Some((x, y)) = pair {
-            by_day.entry(&key.0).or_default().push(y - x);
+            by_scenario.entry(&key.0).or_default().push(y - x);
         }
     }
-    if by_day.is_empty() {
+    if by_scenario.is_empty() {
         return Err(format!("the two folders share no scenario and seed with a metric {metric}"));
     }
     let mut text = format!("{metric}: {} less {}, paired by day and seed\n", b.display(), a.display());
-    let all: Vec<f64> = by_day.values().flatten().copied().collect();
-    let rows = by_day.iter().map(|(day, d)| (*day, d)).chain((by_day.len() > 1).then_some(("all", &all)));
-    for (day, differences) in rows {
+    let all: Vec<f64> = by_scenario.values().flatten().copied().collect();
+    let rows = by_scenario
+        .iter()
+        .map(|(scenario, d)| (*scenario, d))
+        .chain((by_scenario.len() > 1).then_some(("all", &all)));
+    for (scenario, differences) in rows {
         let estimate = bootstrap(differences, mean);
         let verdict = match (estimate.low > 0.0, estimate.high < 0.0, estimate.n) {
             (_, _, 0..=2) => "too few pairs to tell",
@@ -239,7 +243,7 @@
         let spread = quantile(differences, 0.9) - quantile(differences, 0.1);
         let _ = writeln!(
             text,
-            "{day:20} {:+.4} [{:+.4}, {:+.4}] from {} pairs, spread {spread:.3}: {verdict}",
+            "{scenario:20} {:+.4} [{:+.4}, {:+.4}] from {} pairs, spread {spread:.3}: {verdict}",
             estimate.value, estimate.low, estimate.high, estimate.n
         );
     }
--- a/crates/lab/src/virtual_time.rs
+++ b/crates/lab/src/virtual_time.rs
@@ -48,7 +48,7 @@
         Rc::new(move |id: ServerId| {
             let Some(simulation) = simulation.upgrade() else { return f64::INFINITY };
             let members = simulation.members();
-            let member = members.iter().find(|m| name_hash(&m.model.borrow().plan.id) == id.0);
+            let member = members.iter().find(|m| name_hash(&m.model.borrow().parameters.id) == id.0);
             let Some(member) = member.filter(|m| m.in_service()) else { return f64::INFINITY };
             member.advance(simulation.now());
             let forecast = member.model.borrow().forecast(100.0);
@@ -118,7 +118,7 @@
         let simulation =
             Simulation::new(memory, schedule, Addresses { port: 7070 }, EPOCH_MS, sidecars.clone());
         *sidecars.simulation.borrow_mut() = Rc::downgrade(&simulation);
-        simulation.play().await?;
+        simulation.run().await?;
         Ok(then(&simulation))
     })
 }
--- a/crates/lab/tests/discovery_return.rs
+++ b/crates/lab/tests/discovery_return.rs
@@ -26,8 +26,8 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// The platform counts a change as told this long after discovery has it and can be reached; a sidecar must have its
-/// watch back within the same time after the return of discovery.
+/// The platform counts a change as known this long after discovery has it and can be reached; a sidecar must have
+/// its watch back within the same time after the return of discovery.
 const TOLD_WITHIN_S: f64 = 6.0;
 /// Time within which an instance without a watch must ask.
 const MUST_ASK_IN_US: i64 = 10_000_000;
@@ -50,7 +50,7 @@
 struct Discovery {
     returns_s: f64,
     calls_per_s: f64,
-    /// When the service has finished the calls that it has taken (s).
+    /// When the service has finished the calls that it has accepted (s).
     busy_until_s: f64,
     /// Time of each call (s).
     calls: Vec<f64>,
@@ -500,14 +500,14 @@
             at(time).await;
         }
         service.condition.send_replace(Condition::Healthy);
-        let told = Cell::new(0);
+        let notified = Cell::new(0);
         let (mut last_s, mut late) = (0.0, 0);
-        while told.get() < fleet.len() && last_s < 60.0 {
+        while notified.get() < fleet.len() && last_s < 60.0 {
             sleep(Duration::from_millis(20)).await;
             last_s += 0.02;
-            told.set(fleet.iter().filter(|gateway| revision(gateway) == 3).count());
+            notified.set(fleet.iter().filter(|gateway| revision(gateway) == 3).count());
             if last_s > TOLD_WITHIN_S && late == 0 {
-                late = fleet.len() - told.get();
+                late = fleet.len() - notified.get();
             }
         }
         let whole_lists = service.calls.borrow().iter().filter(|(_, whole)| *whole).count();
--- a/crates/roseproxy/tests/common/mod.rs
+++ b/crates/roseproxy/tests/common/mod.rs
@@ -52,7 +52,8 @@
     tokio::task::LocalSet::new().block_on(&runtime.expect("a runtime"), test)
 }
 
-/// The base configuration of the tests: one sidecar, lists on request, three request classes with aims of 60 s.
+/// The base configuration of the tests: one sidecar, lists on request, three request classes with latency goals of
+/// 60 s.
 pub fn config() -> Config {
     config_with(|_| {})
 }
@@ -119,7 +120,7 @@
     start_sidecar_with_host(network, host, config, clock, targets, clients, descriptors).await
 }
 
-/// Starts a sidecar around `host`, for tests that replace its decision module.
+/// Starts a sidecar that uses `host`, for tests that replace its decision module.
 pub async fn start_sidecar_with_host<N: Network<Listener = TcpListener>>(
     network: N,
     host: Host,
@@ -306,8 +307,9 @@
     stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).await
 }
 
-/// The base configuration with aims of 100 ms, which the answers of the tests meet, so that no request is refused.
-pub fn config_with_short_aims() -> Config {
+/// The base configuration with latency goals of 100 ms, which the answers of the tests meet, so that no request is
+/// refused.
+pub fn config_with_short_latency_goals() -> Config {
     config_with(|s| {
         for class in s["request_classes"].as_array_mut().expect("classes") {
             class["aim"] = json!(100_000);
@@ -338,8 +340,8 @@
 
 /// The environment in which the program runs: `network`, the system clock, and a log that is discarded.
 pub fn test_environment<N: Network>(network: N) -> Environment<N> {
-    let say = Rc::new(|_: &str| {});
-    Environment { network, clock: Clock::system(), log: say, decider: None, print_events: false }
+    let log = Rc::new(|_: &str| {});
+    Environment { network, clock: Clock::system(), log, decider: None, print_events: false }
 }
 
 /// Runs the whole program with `config`; returns its task and the channel that stands for its signals.
--- a/crates/roseproxy/tests/crossings.rs
+++ b/crates/roseproxy/tests/crossings.rs
@@ -267,13 +267,13 @@
 /// at most 3 s; every open request has to have its whole answer before.
 #[test]
 fn shutdown_answers_hanging_requests_before_the_kill() {
-    for (give_up, kill_ms) in [(60_000_000, 3_700.0), (900_000, 1_600.0)] {
+    for (client_timeout, kill_ms) in [(60_000_000, 3_700.0), (900_000, 1_600.0)] {
         run_paused(async {
             let (_hangs, target) = bind_port().await;
             let config = config_with(|s| {
                 s["request_classes"].as_array_mut().expect("classes").iter_mut().for_each(|class| {
-                    class["aim"] = json!(give_up);
-                    class["give_up"] = json!(give_up);
+                    class["aim"] = json!(client_timeout);
+                    class["give_up"] = json!(client_timeout);
                 });
             });
             let config = config_at_free_port(config, &[target]).await;
@@ -449,10 +449,11 @@
             (9, true, "in_service", true),
         ];
         // The count starts at 2, as it includes the list that the sidecar starts with.
-        for (taken, (revision, complete, phase, serves)) in (2..).zip(lists) {
+        for (list_count, (revision, complete, phase, serves)) in (2..).zip(lists) {
             let text = list_json(revision, complete, &[(target, phase)]) + "\n";
             write_chunk(&mut stream, &text).await.expect("read");
-            wait_until("the list is taken", || counter(&sidecar.gateway, "discovery_lists") == taken).await;
+            wait_until("the list is taken", || counter(&sidecar.gateway, "discovery_lists") == list_count)
+                .await;
             assert_eq!(sidecar.gateway.can_serve(), serves, "{revision} {phase}");
         }
     });
@@ -589,7 +590,7 @@
 // ---- connections to targets
 
 /// A target that answers before it has the whole request has not begun to run it: the answer is dropped, and the
-/// order goes to another target.
+/// request goes to another target.
 #[test]
 fn an_answer_before_the_whole_request_is_ignored() {
     run_local(async {
@@ -675,8 +676,8 @@
     }
 }
 
-/// An order whose connection is not established before its timeout was never written: it is refused rather than
-/// failed.
+/// A `place-order` request whose connection is not established before its timeout was never written: it is
+/// refused rather than failed.
 #[test]
 fn an_order_whose_connection_was_never_established_is_refused() {
     run_local(async {
--- a/crates/roseproxy/tests/discovery_outage.rs
+++ b/crates/roseproxy/tests/discovery_outage.rs
@@ -28,7 +28,7 @@
 const FIRST_WATCH_DEADLINE: Duration = Duration::from_secs(20);
 /// Call rate (1/s) that is allowed for a fleet of any size: half of the rate at which a small discovery answered no
 /// call (docs/questions.md, 1).
-const MIN_ALLOWED_CALL_RATE: f64 = 25.0;
+const MIN_ALLOWED_CALLS_PER_S: f64 = 25.0;
 /// Allowed call rate of a larger fleet, as a multiple of the rate that the deadline requires, which is one call from
 /// each sidecar in 6 s.
 const CALL_RATE_MULTIPLE: f64 = 2.5;
@@ -149,7 +149,7 @@
 
 /// Allowed mean call rate (1/s) of a fleet of this size.
 fn allowed_call_rate(fleet: usize) -> f64 {
-    (CALL_RATE_MULTIPLE * fleet as f64 / CHANGE_DEADLINE.as_secs_f64()).max(MIN_ALLOWED_CALL_RATE)
+    (CALL_RATE_MULTIPLE * fleet as f64 / CHANGE_DEADLINE.as_secs_f64()).max(MIN_ALLOWED_CALLS_PER_S)
 }
 
 /// Calls that a fleet of this size may make in any single second, with an allowance for random variation.
--- a/crates/roseproxy/tests/last_moments.rs
+++ b/crates/roseproxy/tests/last_moments.rs
@@ -1,5 +1,5 @@
-//! Requests that arrive just before a process that got SIGTERM ends. The tests guard against requests that are taken
-//! and not answered before the process exits, which it does shortly before the platform kills it. The first test
+//! Requests that arrive just before a process that got SIGTERM ends. The tests guard against requests that are
+//! accepted and not answered before the process exits, which it does shortly before the platform kills it. The first test
 //! pauses time.
 
 mod common;
@@ -51,8 +51,11 @@
             // A request that comes too late to be read can be sent again elsewhere; one that was read has to be
             // answered.
             let answer = last.await.expect("no panic").flatten();
-            let taken = counts.contains("flows_taken 2\n");
-            assert!(!taken || answer.is_some(), "{ms_before_exit} ms before the end: taken and not answered");
+            let accepted = counts.contains("flows_taken 2\n");
+            assert!(
+                !accepted || answer.is_some(),
+                "{ms_before_exit} ms before the end: taken and not answered"
+            );
             assert!(counts.contains("violations_open_at_exit 0\n"), "{ms_before_exit}: {counts}");
         });
     }
@@ -113,10 +116,10 @@
             let line = counts.lines().find_map(|line| line.strip_prefix(name));
             line.and_then(|count| count.trim().parse::<u64>().ok()).expect("counted")
         };
-        let taken = counter("flows_taken ");
-        assert!(taken > 10, "{taken} were taken");
+        let accepted = counter("flows_taken ");
+        assert!(accepted > 10, "{accepted} were taken");
         assert_eq!(counter("violations_open_at_exit "), 0, "requests were open at the exit");
-        assert!(answered >= taken, "{taken} taken, {answered} answered");
+        assert!(answered >= accepted, "{accepted} taken, {answered} answered");
         [path, log].iter().for_each(|path| std::fs::remove_file(path).expect("there"));
     });
 }
--- a/crates/roseproxy/tests/list_after_restart.rs
+++ b/crates/roseproxy/tests/list_after_restart.rs
@@ -5,8 +5,8 @@
 //! and used that list until its first call to discovery. Calls were spread over up to 9 s, but a change has to be
 //! known after 6 s, and no bound limited the use of a list that discovery had not confirmed.
 //!
-//! Two days of one run, with a fleet of 300 and the loss of a zone, had 119 and 92 such requests. In the log of one
-//! sidecar 'kept_list revision=0 endpoints=165' stands at 512158 ms, 'call_started after_revision=0' only at 520024
+//! Two scenarios of one run, with a fleet of 300 and the loss of a zone, had 119 and 92 such requests. In the log of
+//! one sidecar 'kept_list revision=0 endpoints=165' stands at 512158 ms, 'call_started after_revision=0' only at 520024
 //! ms, and 'list_taken revision=5 complete=false entries=37' 5 ms later. Of 74 restarted sidecars 20 made their first
 //! call after the deadline and the grace had passed since the first change. In another run no process without a
 //! restart used removed endpoints too late.
@@ -52,7 +52,7 @@
     let (socket, address) = bind_port().await;
     drop(socket);
     let in_service: Vec<_> = kept.iter().map(|endpoint| (*endpoint, "in_service")).collect();
-    let mut file = config_with_short_aims().file;
+    let mut file = config_with_short_latency_goals().file;
     file["listen"] = json!(address.to_string());
     file["discovery"] = json!(discovery.to_string());
     file["seed"] = json!(format!("{seed:x}"));
--- a/crates/roseproxy/tests/sockets.rs
+++ b/crates/roseproxy/tests/sockets.rs
@@ -335,7 +335,7 @@
 }
 
 /// A known list has a revision from which it can be watched. When sidecars requested the whole list first, 100
-/// sidecars that started together made 200 calls, and none of them got a list for the rest of the day.
+/// sidecars that started together made 200 calls, and none of them got a list for the rest of the run.
 #[test]
 fn a_known_list_is_watched_without_a_fetch() {
     run_local(async {
@@ -390,20 +390,20 @@
     let (mut reload, address) = Reload::new(config());
     let before = *address.borrow();
     let read = |text: &str| Config::read(text, |_| None).map_err(ConfigError::from);
-    let mut take = |read| {
-        let taken = reload.apply(read);
-        assert_eq!(taken.retry_in_ms, None, "a file that could be read is not read again");
-        taken.log_line.expect("a line for the log")
+    let mut reload_with = |read| {
+        let outcome = reload.apply(read);
+        assert_eq!(outcome.retry_in_ms, None, "a file that could be read is not read again");
+        outcome.log_line.expect("a line for the log")
     };
-    assert!(take(read("{\"name\": ")).contains("not JSON"));
+    assert!(reload_with(read("{\"name\": ")).contains("not JSON"));
     let mut file = config().file;
     file["discovery"] = json!("nowhere");
-    assert!(take(read(&file.to_string())).contains("discovery is not an address"));
+    assert!(reload_with(read(&file.to_string())).contains("discovery is not an address"));
     assert!(!address.has_changed().expect("open") && *address.borrow() == before);
     // A valid configuration is applied afterwards, and the log names the keys that apply only at the next start.
     file["discovery"] = json!("127.0.0.1:10");
     file["listen"] = json!("127.0.0.1:11");
-    let log_line = take(read(&file.to_string()));
+    let log_line = reload_with(read(&file.to_string()));
     assert!(
         log_line.contains("moved to 127.0.0.1:10") && log_line.ends_with("next start: listen"),
         "{log_line}"
--- a/crates/roseproxy/tests/stalled_peers.rs
+++ b/crates/roseproxy/tests/stalled_peers.rs
@@ -21,9 +21,15 @@
 async fn start_gated_sidecar(places: usize) -> (GatedNetwork, Sidecar<GatedNetwork>, Rc<Cell<usize>>) {
     let (endpoint, address) = bind_port().await;
     let network = GatedNetwork::default();
-    let sidecar =
-        start_sidecar_on(network.clone(), config_with_short_aims(), Clock::system(), &[address], places, 20)
-            .await;
+    let sidecar = start_sidecar_on(
+        network.clone(),
+        config_with_short_latency_goals(),
+        Clock::system(),
+        &[address],
+        places,
+        20,
+    )
+    .await;
     (network, sidecar, count_requests(endpoint))
 }
 
@@ -36,7 +42,7 @@
             network.connect_error.set(Some(error));
             let sidecar = start_sidecar_on(
                 network.clone(),
-                config_with_short_aims(),
+                config_with_short_latency_goals(),
                 Clock::system(),
                 &[address],
                 20,
@@ -64,9 +70,15 @@
     run_local(async {
         let (endpoint, address) = bind_port().await;
         let network = GatedNetwork::default();
-        let sidecar =
-            start_sidecar_on(network.clone(), config_with_short_aims(), Clock::system(), &[address], 20, 20)
-                .await;
+        let sidecar = start_sidecar_on(
+            network.clone(),
+            config_with_short_latency_goals(),
+            Clock::system(),
+            &[address],
+            20,
+            20,
+        )
+        .await;
         network.target_writes.close();
         let served = spawn_local(async move {
             let (mut stream, _) = endpoint.accept().await.expect("the sidecar connects");
--- a/crates/roseproxy/tests/system_calls.rs
+++ b/crates/roseproxy/tests/system_calls.rs
@@ -37,9 +37,15 @@
         let (endpoint, address) = bind_port().await;
         let network = FaultyNetwork::default();
         network.accept_error.set(Some(ENFILE));
-        let sidecar =
-            start_sidecar_on(network.clone(), config_with_short_aims(), Clock::system(), &[address], 20, 20)
-                .await;
+        let sidecar = start_sidecar_on(
+            network.clone(),
+            config_with_short_latency_goals(),
+            Clock::system(),
+            &[address],
+            20,
+            20,
+        )
+        .await;
         run_ready_tasks().await;
         let served = spawn_local(serve(endpoint, 1));
         let _client = connect_and_send(sidecar.address, &request_with_short_timeout("waits")).await;
@@ -60,7 +66,7 @@
         // The sidecar has room for one client, which sends half a request and leaves after one second.
         let sidecar = start_sidecar_on(
             FaultyNetwork::default(),
-            config_with_short_aims(),
+            config_with_short_latency_goals(),
             Clock::system(),
             &[address],
             1,
@@ -89,7 +95,8 @@
         let network = FaultyNetwork::default();
         network.stream_error.set(Some(EINTR));
         let sidecar =
-            start_sidecar_on(network, config_with_short_aims(), Clock::system(), &[address], 20, 20).await;
+            start_sidecar_on(network, config_with_short_latency_goals(), Clock::system(), &[address], 20, 20)
+                .await;
         let served = spawn_local(serve(endpoint, 1));
         let mut client = TcpStream::connect(sidecar.address).await.expect("connects");
         let answer = exchange(&mut client, &request_text("place-order", "one", "body")).await;
@@ -103,8 +110,15 @@
     run_paused(async {
         let network = FaultyNetwork::default();
         network.accept_error.set(Some(ENFILE));
-        let sidecar =
-            start_sidecar_on(network.clone(), config_with_short_aims(), Clock::system(), &[], 20, 20).await;
+        let sidecar = start_sidecar_on(
+            network.clone(),
+            config_with_short_latency_goals(),
+            Clock::system(),
+            &[],
+            20,
+            20,
+        )
+        .await;
         let started = tokio::time::Instant::now();
         let mut client = connect_and_send(sidecar.address, "GET /quote HTTP/1.1\r\nHo").await;
         tokio::time::sleep(Duration::from_millis(1_000)).await;
@@ -125,9 +139,15 @@
         network.accept_error.set(Some(ENFILE));
         network.accept_succeeds_every.set(10);
         let clock = Clock::manual(0.0);
-        let sidecar =
-            start_sidecar_on(network, config_with_short_aims(), clock, &[address], 2 * SILENT_CLIENTS, 20)
-                .await;
+        let sidecar = start_sidecar_on(
+            network,
+            config_with_short_latency_goals(),
+            clock,
+            &[address],
+            2 * SILENT_CLIENTS,
+            20,
+        )
+        .await;
         let _served = spawn_local(serve(endpoint, 1));
         let mut silent_clients = Vec::new();
         for _ in 0..SILENT_CLIENTS {
@@ -142,7 +162,7 @@
 }
 
 /// Linux documents that sends may fail for lack of buffers, and receives for lack of memory. Such an error says
-/// nothing about the connection, and every request that was taken still has to be answered.
+/// nothing about the connection, and every request that was accepted still has to be answered.
 #[test]
 fn calls_that_fail_for_lack_of_memory_or_buffers_lose_no_request() {
     for error in [ENOBUFS, ENOMEM] {
@@ -151,7 +171,7 @@
             let network = FaultyNetwork::default();
             let sidecar = start_sidecar_on(
                 network.clone(),
-                config_with_short_aims(),
+                config_with_short_latency_goals(),
                 Clock::system(),
                 &[address],
                 20,
--- a/crates/soak/src/checker.rs
+++ b/crates/soak/src/checker.rs
@@ -12,7 +12,7 @@
 const DEADLINE_TOLERANCE_MS: f64 = 150.0;
 /// Tolerance of the protocol on every other time limit.
 const TOLERANCE_MS: f64 = 50.0;
-/// Time after which a change counts as known to all sidecars, counted while discovery can be reachable_at.
+/// Time after which a change counts as known to all sidecars, counted while discovery is reachable.
 const MAX_PROPAGATION_MS: f64 = 6_000.0;
 /// Maximum time until the error or the close that answers malformed input.
 const MALFORMED_RESPONSE_MS: f64 = 3_000.0;
@@ -43,7 +43,7 @@
     OwnAnswer,
     /// Sidecars do not crash, are ready and end in time, and answer malformed input by an error or a close.
     Limits,
-    /// The sidecar's own consistency checks find nothing, and it holds nothing open at rest.
+    /// The sidecar's own consistency checks find nothing, and it holds nothing open when it is idle.
     OwnCheck,
 }
 
@@ -480,7 +480,7 @@
                 SidecarEvent::Ready => {
                     let from = started.get(sidecar).copied().unwrap_or(*at);
                     let elapsed_ms = at - from;
-                    // Without a saved list, a sidecar cannot serve before discovery can be reachable_at.
+                    // Without a saved list, a sidecar cannot serve before discovery is reachable.
                     let allowance_ms =
                         if self.settings.kept_lists { 0.0 } else { self.discovery_downtime(from, *at) };
                     if elapsed_ms <= READY_LIMIT_MS + allowance_ms + self.slack_ms {
@@ -499,7 +499,7 @@
         }
     }
 
-    /// Checks that the sidecars' own checks found nothing, and that nothing is open once all clients rest.
+    /// Checks that the sidecars' own checks found nothing, and that nothing is open once all clients have stopped.
     fn check_counters(&mut self) {
         let at = self.timeline.sidecars.last().map_or(0.0, |(at, ..)| *at);
         for (sidecar, name, value) in &self.timeline.counters {
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -202,7 +202,7 @@
 
 /// A fault that is scheduled in a run.
 #[derive(Clone, Copy, Debug)]
-pub struct PlannedFault {
+pub struct ScheduledFault {
     /// Start of the fault, from the start of the run (s).
     pub at_s: f64,
     /// Length of the fault (s).
@@ -214,19 +214,19 @@
 }
 
 /// Draws the faults of a run with this length (s).
-pub fn draw_plan(rng: &mut ChaCha8Rng, run_length_s: f64) -> Vec<PlannedFault> {
-    let mut plan = Vec::new();
+pub fn draw_schedule(rng: &mut ChaCha8Rng, run_length_s: f64) -> Vec<ScheduledFault> {
+    let mut schedule = Vec::new();
     let mut at_s = 1.0;
     while at_s < run_length_s {
         let kind = WEIGHTED_KINDS.choose(rng).copied().unwrap_or(Kind::Leave);
         let length_s = rng.random_range(MIN_FAULT_S..MAX_FAULT_S);
-        plan.push(PlannedFault { at_s, length_s, kind, selector: rng.random() });
+        schedule.push(ScheduledFault { at_s, length_s, kind, selector: rng.random() });
         at_s += rng.random_range(MIN_PAUSE_S..MAX_PAUSE_S);
     }
-    plan
+    schedule
 }
 
-impl PlannedFault {
+impl ScheduledFault {
     /// Injects the fault, and undoes it at its end.
     pub async fn inject(self, fleet: Rc<Fleet>, run_started_at: f64) {
         sleep_ms(run_started_at + self.at_s * 1e3 - now()).await;
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,7 +1,7 @@
 //! Carries out one run: the fleet under the faults of a seed, then the check and the report.
 
 use crate::checker::{check, Rule, Totals, Violation};
-use crate::faults::draw_plan;
+use crate::faults::draw_schedule;
 use crate::fleet::Fleet;
 use crate::records::now;
 use crate::settings::Settings;
@@ -61,7 +61,7 @@
     let folder = tempfile::tempdir().map_err(|e| format!("temporary folder: {e}"))?;
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let settings = Settings::draw(&mut rng, options.sidecars, options.capacity);
-    let plan = draw_plan(&mut rng, options.seconds);
+    let schedule = draw_schedule(&mut rng, options.seconds);
     let (timeline, records) = LocalSet::new().block_on(&runtime, async {
         let fleet =
             Fleet::new(settings, options.endpoints, &options.program, folder.path(), (seed, options.slack))?;
@@ -77,7 +77,7 @@
             fleet.apply_client_behavior(number).await;
         }
         let fault_tasks: Vec<_> =
-            plan.iter().map(|fault| spawn_local(fault.inject(fleet.clone(), started_at))).collect();
+            schedule.iter().map(|fault| spawn_local(fault.inject(fleet.clone(), started_at))).collect();
         while now() - started_at < options.seconds * 1e3 {
             for number in 0..options.sidecars {
                 if !fleet.sidecars[number].restarting.get() {
